--- a/bench/bench.h
+++ b/bench/bench.h
@@ -8,8 +8,8 @@
 
 #include <algorithm>
 #include <chrono>
-#include <ctime>
 #include <cstdio>
+#include <ctime>
 #include <fstream>
 #include <functional>
 #include <string>
--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -1,8 +1,9 @@
 // What the edge holds up to and what it costs. Ratios and counts within this one run; the last line is JSON.
+#include <malloc.h>
+
 #include <CLI/CLI.hpp>
 #include <cmath>
 #include <iostream>
-#include <malloc.h>
 #include <nlohmann/json.hpp>
 #include <thread>
 
@@ -63,8 +64,8 @@
   return {{"bytes_per_idle_session", static_cast<double>(after - before) / kSessions}};
 }
 
-// Devices that all come back at once, in virtual time: how long the most urgent tenth waits, over one that comes
-// alone, for which a link's way there and back is all there is.
+// Devices that all come back at once, in virtual time: how long the most urgent tenth waits, over one that
+// comes alone, for which a link's way there and back is all there is.
 json storm(bool quick) {
   const std::uint64_t devices = quick ? 2000 : 10'000;
   edge::EdgeSettings settings;
@@ -132,7 +133,8 @@
 
 std::string conf(const std::string& more = {}) {
   return "spool {\n  listen 127.0.0.1:0\n  memory 64m\n  result-most 4m\n}\n"
-         "edge {\n  listen 127.0.0.1:0\n  home one\n  rate 100000\n  burst 1000\n  heartbeat-least 200ms\n" + more + "}\n";
+         "edge {\n  listen 127.0.0.1:0\n  home one\n  rate 100000\n  burst 1000\n  heartbeat-least 200ms\n" +
+         more + "}\n";
 }
 
 json ledger_cost(bool quick) {
@@ -148,7 +150,8 @@
   for (int run = 0; run < 2 * rounds; ++run) {
     const bool durable = run % 2 == 1;
     site.kill();
-    site.set_conf(conf(durable ? "  requests 256\n  ledger " + site.folder.path("ledger" + std::to_string(run)) + " 64m\n"
+    site.set_conf(conf(durable ? "  requests 256\n  ledger " +
+                                     site.folder.path("ledger" + std::to_string(run)) + " 64m\n"
                                : "  requests 256\n"));
     site.start();
     Device device("acme", "tablet");
@@ -177,7 +180,8 @@
     if (durable) {
       const auto* ledger = site.server->edge()->ledger();
       // A transaction is one sync: so many durable records share it.
-      out["ledger_commits_per_sync"] = static_cast<double>(ledger->records()) / static_cast<double>(ledger->commits());
+      out["ledger_commits_per_sync"] =
+          static_cast<double>(ledger->records()) / static_cast<double>(ledger->commits());
     }
   }
   out["load_us_in_memory"] = median(cost[0]) * 1e6;
@@ -201,9 +205,10 @@
   return script;
 }
 
-// Devices that ask one report after the other for a set time, over a link that is cut every so many times the length
-// of an answer on the wire: rows of answers that were whole within their limit. With sessions, and without: there
-// each connection begins anew and asks again, under the same key, so that the engine does not run twice for it.
+// Devices that ask one report after the other for a set time, over a link that is cut every so many times the
+// length of an answer on the wire: rows of answers that were whole within their limit. With sessions, and
+// without: there each connection begins anew and asks again, under the same key, so that the engine does not
+// run twice for it.
 double rows_in_time(double cuts_an_answer, bool sessions, bool quick, double answer_bytes) {
   Site::Options options;
   options.engines = 2;
@@ -217,12 +222,13 @@
   std::vector<std::unique_ptr<EdgeClient>> clients;
   const double mean = cuts_an_answer > 0 ? answer_bytes / cuts_an_answer : 0;
   for (int i = 0; i < devices; ++i) {
-    proxies.push_back(std::make_unique<Proxy>(site.io, site.server->edge_endpoint(), [i, mean](std::size_t n) {
-      return cut_link(static_cast<std::uint64_t>(i) * 7919 + n, mean);
-    }));
+    proxies.push_back(std::make_unique<Proxy>(
+        site.io, site.server->edge_endpoint(),
+        [i, mean](std::size_t n) { return cut_link(static_cast<std::uint64_t>(i) * 7919 + n, mean); }));
     tablets.push_back(std::make_unique<Device>("acme", "tablet" + std::to_string(i)));
     tablets.back()->plain = !sessions;
-    clients.push_back(std::make_unique<EdgeClient>(site.io, *tablets.back(), proxies.back()->endpoint(), By::kWebSocketCbor));
+    clients.push_back(std::make_unique<EdgeClient>(site.io, *tablets.back(), proxies.back()->endpoint(),
+                                                   By::kWebSocketCbor));
     clients.back()->set_patience(milliseconds(300));
     clients.back()->connect();
   }
@@ -236,7 +242,9 @@
   double rows = 0;
   for (const auto& tablet : tablets) {
     for (const auto& [_, request] : tablet->requests())
-      rows += request.done && request.have_rows == request.outcome.rows ? static_cast<double>(request.have_rows) : 0;
+      rows += request.done && request.have_rows == request.outcome.rows
+                  ? static_cast<double>(request.have_rows)
+                  : 0;
   }
   return rows;
 }
@@ -261,9 +269,11 @@
   json table = json::array();
   double worst = 0;
   for (const double cuts : {0.0, 0.5, 1.0, 2.0, 3.0, 4.0}) {
-    const double plain = rows_in_time(cuts, false, quick, bytes), with = rows_in_time(cuts, true, quick, bytes);
+    const double plain = rows_in_time(cuts, false, quick, bytes),
+                 with = rows_in_time(cuts, true, quick, bytes);
     worst = with / std::max(plain, 600.0);  // one answer, where plain delivers none
-    table.push_back({{"cuts_an_answer", cuts}, {"plain_rows", plain}, {"session_rows", with}, {"ratio", worst}});
+    table.push_back(
+        {{"cuts_an_answer", cuts}, {"plain_rows", plain}, {"session_rows", with}, {"ratio", worst}});
   }
   return {{"goodput_answer_bytes", bytes}, {"goodput_by_link", table}, {"goodput_over_plain", worst}};
 }
--- a/bench/ordinary.h
+++ b/bench/ordinary.h
@@ -1,5 +1,5 @@
-// What a request costs on the platform's own path: the program as it is, with the operator's file, and an earlier
-// build of it, by the processor's time of each process.
+// What a request costs on the platform's own path: the program as it is, with the operator's file, and an
+// earlier build of it, by the processor's time of each process.
 #pragma once
 
 #include <memory>
@@ -12,7 +12,8 @@
 
 namespace steprail::bench {
 
-inline double cost_of_round(standin::Site& site, standin::Client& client, const Process& process, int requests, std::uint64_t& next) {
+inline double cost_of_round(standin::Site& site, standin::Client& client, const Process& process,
+                            int requests, std::uint64_t& next) {
   const double before = process.cpu_seconds();
   int open = 0, done = 0, asked = 0;
   while (done < requests) {
@@ -26,15 +27,16 @@
           bool any = false;
           while (client.take()) ++done, --open, any = true;
           return any || client.ended();
-        }) || client.ended())
+        }) ||
+        client.ended())
       std::abort();
   }
   return process.cpu_seconds() - before;
 }
 
 // `before` may be empty. Ratios are medians over rounds taken in turn.
-inline nlohmann::json ordinary_cost(const std::string& program, const std::string& before, const std::string& conf,
-                                    bool quick) {
+inline nlohmann::json ordinary_cost(const std::string& program, const std::string& before,
+                                    const std::string& conf, bool quick) {
   using namespace standin;
   Site::Options options;
   options.engines = 4;
@@ -61,7 +63,8 @@
     std::vector<std::string> words{path, "serve", "--config", site.folder.path(file)};
     if (on) words.insert(words.end(), {"--conf", site.folder.path("steprail.conf")});
     Variant variant{name, nullptr, std::make_unique<Process>(words, "serving as"), nullptr, {}};
-    variant.client = std::make_unique<Client>(site.io, tcp::endpoint{boost::asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port)});
+    variant.client = std::make_unique<Client>(
+        site.io, tcp::endpoint{boost::asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port)});
     variants.push_back(std::move(variant));
   };
   if (!before.empty()) add("before", before, false);
@@ -69,7 +72,8 @@
   add("on", program, true);
   const int requests = quick ? 2000 : 4000, rounds = quick ? 11 : 61;
   std::uint64_t next = 0;
-  for (Variant& variant : variants) cost_of_round(site, *variant.client, *variant.process, requests / 4, next);
+  for (Variant& variant : variants)
+    cost_of_round(site, *variant.client, *variant.process, requests / 4, next);
   for (int round = 0; round < rounds; ++round) {
     // The order turns, so that what a round leaves behind burdens each alike.
     for (std::size_t i = 0; i < variants.size(); ++i) {
@@ -82,9 +86,10 @@
     for (std::size_t i = 0; i < a.costs.size(); ++i) ratios.push_back(a.costs[i] / b.costs[i]);
     return median(ratios);
   };
-  nlohmann::json out = {{"ordinary_us_a_request", median(variants.back().costs) / requests * 1e6},
-              {"ordinary_cost_on_over_off", ratio(variants[variants.size() - 1], variants[variants.size() - 2])},
-              {"ordinary_idle_rss_off_mb", variants[variants.size() - 2].process->memory("VmRSS") / 1e6}};
+  nlohmann::json out = {
+      {"ordinary_us_a_request", median(variants.back().costs) / requests * 1e6},
+      {"ordinary_cost_on_over_off", ratio(variants[variants.size() - 1], variants[variants.size() - 2])},
+      {"ordinary_idle_rss_off_mb", variants[variants.size() - 2].process->memory("VmRSS") / 1e6}};
   if (!before.empty()) {
     out["ordinary_cost_ratio_off"] = ratio(variants[1], variants[0]);
     out["ordinary_cost_ratio_on"] = ratio(variants[2], variants[0]);
--- a/bench/routes_bench.cpp
+++ b/bench/routes_bench.cpp
@@ -40,7 +40,9 @@
   pcg32 random(5);
   std::vector<Facts> facts(2000);
   for (Facts& f : facts)
-    f = {static_cast<int>(random(3)), static_cast<int>(random(20)), static_cast<int>(random(9)), 0, random(200) * 1.0, 0};
+    f = {static_cast<int>(random(3)), static_cast<int>(random(20)),
+         static_cast<int>(random(9)), 0,
+         random(200) * 1.0,           0};
   std::size_t sum = 0, other = 0;
   const double fast = ns_each(facts.size(), rounds, [&] {
     for (const Facts& f : facts) sum += tree.match(f).value_or(0);
@@ -68,10 +70,12 @@
   std::string text;
   for (std::size_t i = 0; i < count; ++i) {
     const std::size_t cls = i / 2 % 3;
-    text += "route r" + std::to_string(i) + " {\n  class " + platform.tables.classes.name(static_cast<int>(cls)) +
-            "\n  tenant t" + std::to_string(i / 6 % 20) + "\n  group " + std::to_string(i / 120) +
-            (i % 2 == 0 ? "\n  work 0 100" : "\n  work 100 1000000") + "\n  patience " + std::to_string(1000 + i % 97 * 10) + "ms\n  attempts " +
-            (cls == 1 ? "1" : "3") + "\n  pause 100ms jitter 20%\n}\n";
+    text += "route r" + std::to_string(i) + " {\n  class " +
+            platform.tables.classes.name(static_cast<int>(cls)) + "\n  tenant t" +
+            std::to_string(i / 6 % 20) + "\n  group " + std::to_string(i / 120) +
+            (i % 2 == 0 ? "\n  work 0 100" : "\n  work 100 1000000") + "\n  patience " +
+            std::to_string(1000 + i % 97 * 10) + "ms\n  attempts " + (cls == 1 ? "1" : "3") +
+            "\n  pause 100ms jitter 20%\n}\n";
   }
   const auto start = Time::now();
   RouteConf conf;
@@ -148,13 +152,16 @@
 // Worth a second with the planned routes over none, by the planner's own model, on three stated mixes.
 json plan_gain() {
   const char* mixes[][2] = {
-      {"calm", "engines {\n  cores 64\n}\ntraffic l {\n  class lookup\n  rate 100\n  time 40ms\n  lost 1%\n}\n"
-               "traffic r {\n  class report\n  rate 20\n  time 700ms spread 60%\n  lost 2%\n}\n"},
-      {"rush", "engines {\n  cores 64\n}\ntraffic l {\n  class lookup\n  rate 300\n  time 60ms\n  lost 2%\n}\n"
-               "traffic r {\n  class report\n  rate 90\n  time 900ms spread 80%\n  lost 4%\n}\n"
-               "traffic w {\n  class load\n  rate 5\n  time 1500ms\n}\n"},
-      {"bad-plans", "engines {\n  cores 64\n}\ntraffic l {\n  class lookup\n  rate 100\n  time 40ms\n  lost 5%\n}\n"
-                    "traffic r {\n  class report\n  rate 40\n  time 600ms spread 100%\n  lost 20%\n}\n"}};
+      {"calm",
+       "engines {\n  cores 64\n}\ntraffic l {\n  class lookup\n  rate 100\n  time 40ms\n  lost 1%\n}\n"
+       "traffic r {\n  class report\n  rate 20\n  time 700ms spread 60%\n  lost 2%\n}\n"},
+      {"rush",
+       "engines {\n  cores 64\n}\ntraffic l {\n  class lookup\n  rate 300\n  time 60ms\n  lost 2%\n}\n"
+       "traffic r {\n  class report\n  rate 90\n  time 900ms spread 80%\n  lost 4%\n}\n"
+       "traffic w {\n  class load\n  rate 5\n  time 1500ms\n}\n"},
+      {"bad-plans",
+       "engines {\n  cores 64\n}\ntraffic l {\n  class lookup\n  rate 100\n  time 40ms\n  lost 5%\n}\n"
+       "traffic r {\n  class report\n  rate 40\n  time 600ms spread 100%\n  lost 20%\n}\n"}};
   Platform platform;
   platform.settings.classes[0].late_share = 0.3;
   platform.settings.classes[2].hard_limit = 4s, platform.settings.classes[2].objective = 300ms;
@@ -193,20 +200,25 @@
   };
   part("match", [&] {
     json found;
-    for (const std::size_t n : {10u, 100u, 1000u}) found["match_over_linear"][std::to_string(n)] = match_over_linear(n, quick ? 5 : 15);
+    for (const std::size_t n : {10u, 100u, 1000u})
+      found["match_over_linear"][std::to_string(n)] = match_over_linear(n, quick ? 5 : 15);
     found["tree_nodes_1000"] = RouteTree(some_routes(1000)).nodes();
     return found;
   });
-  part("check", [&] { return json{{"check_ms", check_time(quick ? 200 : 1000)}, {"check_routes", quick ? 200 : 1000}}; });
+  part("check", [&] {
+    return json{{"check_ms", check_time(quick ? 200 : 1000)}, {"check_routes", quick ? 200 : 1000}};
+  });
   part("storm", [&] {
     const Storm with = storm(0.1, quick), without = storm(std::nullopt, quick);
-    return json{{"amplification", {{"ration_10", with.amplification}, {"none", without.amplification}}},
-                {"goodput_after_fault", {{"ration_10", with.goodput_after}, {"none", without.goodput_after}}}};
+    return json{
+        {"amplification", {{"ration_10", with.amplification}, {"none", without.amplification}}},
+        {"goodput_after_fault", {{"ration_10", with.goodput_after}, {"none", without.goodput_after}}}};
   });
   part("tenant", [] { return json{{"tenant_within_share_kept", tenant_kept()}}; });
   part("plan", [] { return plan_gain(); });
   part("cost", [&] {
-    return ordinary_cost(program, before, "route r {\n  class lookup\n  attempts 2\n  limit 64 1000\n}\n", quick);
+    return ordinary_cost(program, before, "route r {\n  class lookup\n  attempts 2\n  limit 64 1000\n}\n",
+                         quick);
   });
   std::cout << out.dump() << std::endl;
   return 0;
--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -1,4 +1,5 @@
-// What the spool costs and brings. Everything is a ratio or a count within this one run; the last line is JSON.
+// What the spool costs and brings. Everything is a ratio or a count within this one run; the last line is
+// JSON.
 #include <CLI/CLI.hpp>
 #include <boost/asio/write.hpp>
 #include <cstdio>
@@ -140,7 +141,8 @@
 // ---- The engine's session ----
 
 std::string conf(const std::string& memory, const std::string& more = {}) {
-  return "spool {\n  listen 127.0.0.1:0\n  memory " + memory + "\n  result-most 1m\n  window-most 64k\n" + more + "}\n";
+  return "spool {\n  listen 127.0.0.1:0\n  memory " + memory + "\n  result-most 1m\n  window-most 64k\n" +
+         more + "}\n";
 }
 
 json session_figures() {
@@ -163,7 +165,8 @@
   socket.connect(*parse_address(site.engines[0]->address()));
   const std::string statement = "select 1 from a_7.t", direct_id = "00000000000000b2";
   const auto say = [&](const std::string& text) { boost::asio::write(socket, boost::asio::buffer(text)); };
-  say("serve " + direct_id + " lane=report,ttl=60000 " + std::to_string(statement.size()) + "\r\n" + statement + "\r\n");
+  say("serve " + direct_id + " lane=report,ttl=60000 " + std::to_string(statement.size()) + "\r\n" +
+      statement + "\r\n");
   constexpr std::size_t kPages = 50;
   std::size_t page = 1;
   const auto start = Time::now();
@@ -178,7 +181,9 @@
   });
   const Span slow = site.engines[0]->spans().at(1);
   const double direct = std::chrono::duration<double>(slow.freed - slow.opened).count();
-  return {{"session_ratio", direct / spooled}, {"session_spooled_ms", spooled * 1000}, {"session_direct_ms", direct * 1000}};
+  return {{"session_ratio", direct / spooled},
+          {"session_spooled_ms", spooled * 1000},
+          {"session_direct_ms", direct * 1000}};
 }
 
 // ---- Memory with stalled readers ----
@@ -195,20 +200,24 @@
     config["limits"]["sockets"] = 16'384;
     config["limits"]["memory_mb"] = 2048;
   };
-  options.conf = conf(std::to_string(budget >> 20) + "m", "  sessions 2500\n  unread-most 256k\n  lease 5s\n");
+  options.conf =
+      conf(std::to_string(budget >> 20) + "m", "  sessions 2500\n  unread-most 256k\n  lease 5s\n");
   Site site(options);
   site.kill();
-  Process process({program, "serve", "--config", site.folder.path("config.json"), "--conf", site.folder.path("steprail.conf")},
+  Process process({program, "serve", "--config", site.folder.path("config.json"), "--conf",
+                   site.folder.path("steprail.conf")},
                   "serving as");
   const double idle = process.memory("VmRSS");
-  const tcp::endpoint to{boost::asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(process.reader_port)};
+  const tcp::endpoint to{boost::asio::ip::address_v4::loopback(),
+                         static_cast<std::uint16_t>(process.reader_port)};
   std::vector<std::unique_ptr<Client>> stalled;
   std::size_t kept = 0, refused = 0;
   for (std::size_t i = 0; i < readers; ++i) {
     stalled.push_back(std::make_unique<Client>(site.io, to));
     char id[17];
     std::snprintf(id, sizeof id, "%016zx", i + 1);
-    stalled.back()->call("submit", 1, request(id, "report", i % 2 == 0 ? "acme" : "umbra", 50'000), "select 1 from a_7.t");
+    stalled.back()->call("submit", 1, request(id, "report", i % 2 == 0 ? "acme" : "umbra", 50'000),
+                         "select 1 from a_7.t");
     std::optional<Reply> reply;
     site.until([&] { return (reply = stalled.back()->take()).has_value() || stalled.back()->ended(); });
     const bool good = reply && reply->field == 0 && !reply->at("handle").empty();
@@ -216,7 +225,10 @@
     // Asks for all of it, and reads nothing.
     for (int call = 2; good && call < 20; ++call)
       stalled.back()->call("fetch", call,
-                           {{"handle", reply->at("handle")}, {"team", i % 2 == 0 ? "acme" : "umbra"}, {"row", "0"}, {"window", "65536"}});
+                           {{"handle", reply->at("handle")},
+                            {"team", i % 2 == 0 ? "acme" : "umbra"},
+                            {"row", "0"},
+                            {"window", "65536"}});
   }
   const double peak = process.memory("VmHWM");
   return {{"memory_peak_over_budget", peak / static_cast<double>(budget)},
--- a/include/steprail/gateway.h
+++ b/include/steprail/gateway.h
@@ -110,7 +110,8 @@
   Standing standing{Standing::kReady};
   double weight{1};
   Micros came_up{0};  // 0: long ago
-  std::uint64_t name{};  // a hash of its name, equal at every gateway: what they agree on without a word hangs on it
+  std::uint64_t
+      name{};  // a hash of its name, equal at every gateway: what they agree on without a word hangs on it
 };
 
 // News of the engine list. A full or saved list removes every engine it does not hold.
@@ -126,7 +127,7 @@
   std::vector<Micros> patience{};  // by attempt, the last one for all further ones; empty: the gateway's own
   Micros pause{0};                 // before a further attempt ...
   double jitter{};                 // ... give or take this part of it
-  Micros move_after{0};            // an attempt that may run again leaves its engine after so long; 0: never so
+  Micros move_after{0};  // an attempt that may run again leaves its engine after so long; 0: never so
   std::optional<double> ration{};  // further attempts for each first one
   double ration_burst{};           // and so many ahead of that
   int pool{-1};                    // of RoutesNews; -1: every engine
@@ -134,8 +135,8 @@
   int priority{-1};                // 0 to 3, where it is heeded; -1: as the gateway sees fit
 };
 
-// The routes as they are from now on; requests that are open keep the figures with which they came, and the pools
-// as they are now.
+// The routes as they are from now on; requests that are open keep the figures with which they came, and the
+// pools as they are now.
 struct RoutesNews {
   std::vector<std::shared_ptr<const RouteFigures>> routes{};
   std::vector<std::vector<bool>> pools{};  // by engine; one that lies beyond is no member
@@ -152,8 +153,8 @@
   double memory_mb{};    // likewise
   int group{-1};         // group of tables
   bool resent{};
-  int route{-1};         // of RoutesNews; -1: none
-  bool no_place{};       // its route has none for it now
+  int route{-1};    // of RoutesNews; -1: none
+  bool no_place{};  // its route has none for it now
 };
 
 // The client quit; attempts still out are closed one by one afterwards.
@@ -213,8 +214,8 @@
   std::uint64_t label{};
 };
 
-using Event = std::variant<Started, ListNews, RoutesNews, Arrival, ClientGone, FirstByte, Closed, Note, ProbeResult,
-                           PeerMessage, Alarm>;
+using Event = std::variant<Started, ListNews, RoutesNews, Arrival, ClientGone, FirstByte, Closed, Note,
+                           ProbeResult, PeerMessage, Alarm>;
 
 // ---- Actions: what the caller must do, in this order, at the event's own time ----
 
--- a/src/base/backoff.h
+++ b/src/base/backoff.h
@@ -1,5 +1,5 @@
-// Pauses between tries: exponential, with full jitter. What makes hundreds of coordinators lose the same peer at the
-// same moment must not make them all come back at the same moment.
+// Pauses between tries: exponential, with full jitter. What makes hundreds of coordinators lose the same peer
+// at the same moment must not make them all come back at the same moment.
 #pragma once
 
 #include <algorithm>
@@ -12,7 +12,8 @@
 class Backoff {
  public:
   using Micros = std::chrono::microseconds;
-  Backoff(std::uint64_t seed, Micros first, Micros most) : random_(seed), first_(first), most_(most), reach_(first) {}
+  Backoff(std::uint64_t seed, Micros first, Micros most)
+      : random_(seed), first_(first), most_(most), reach_(first) {}
 
   // Anything up to a reach that doubles from try to try.
   Micros next() {
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,8 +1,8 @@
 // The program's log: one line an occasion, and the count of broken invariants.
 //
-// Lines go to a descriptor that may be a pipe which nobody reads: writing never blocks. What cannot leave waits
-// in a bounded store; what does not fit there is dropped, and the log says how many lines that were.
-// To be used from one thread.
+// Lines go to a descriptor that may be a pipe which nobody reads: writing never blocks. What cannot leave
+// waits in a bounded store; what does not fit there is dropped, and the log says how many lines that were. To
+// be used from one thread.
 #pragma once
 
 #include <cassert>
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -30,7 +30,8 @@
   std::shared_ptr<prometheus::Registry> registry_;
 };
 
-// Replaces the file as a whole: a reader sees the old text or the new one. Empty where it worked, else why not.
+// Replaces the file as a whole: a reader sees the old text or the new one. Empty where it worked, else why
+// not.
 std::string replace_file(const std::string& path, const std::string& text);
 
 }  // namespace steprail
--- a/src/base/signals.h
+++ b/src/base/signals.h
@@ -1,5 +1,6 @@
 // Signals that come before anything handles them. Their default action ends the process: a restart and a new
-// configuration fall on the same second, and the program that was just started must neither die of one nor lose it.
+// configuration fall on the same second, and the program that was just started must neither die of one nor
+// lose it.
 #pragma once
 
 #include <csignal>
--- a/src/base/timing_wheel.h
+++ b/src/base/timing_wheel.h
@@ -1,9 +1,9 @@
 // A hierarchical timing wheel (Varghese and Lauck): setting and taking back a timer are constant work, and a
 // timer moves down at most once a level on its way to its end.
 //
-// Six levels of 64 slots. A slot of level L spans 64^L ticks; a timer lies on the lowest level on which its tick
-// and the wheel's present differ in one digit to base 64 alone. A bit a slot says what is taken, so that empty
-// stretches of time cost nothing to pass.
+// Six levels of 64 slots. A slot of level L spans 64^L ticks; a timer lies on the lowest level on which its
+// tick and the wheel's present differ in one digit to base 64 alone. A bit a slot says what is taken, so that
+// empty stretches of time cost nothing to pass.
 #pragma once
 
 #include <algorithm>
--- a/src/base/worker.h
+++ b/src/base/worker.h
@@ -1,5 +1,5 @@
-// One thread for slow work (disks), behind a bounded queue. The thread begins with the first job, so that what
-// is never used costs none.
+// One thread for slow work (disks), behind a bounded queue. The thread begins with the first job, so that
+// what is never used costs none.
 #pragma once
 
 #include <condition_variable>
--- a/src/commands/explain.cpp
+++ b/src/commands/explain.cpp
@@ -16,8 +16,10 @@
   const OperatorConf conf = read_operator(options.conf);
   const routes::RouteSet set = routes_of(conf, config.settings, config.tables);
   routes::Named names;
-  for (int i = 0; i < config.tables.classes.size(); ++i) names.classes.push_back(config.tables.classes.name(i));
-  for (int i = 0; i < config.tables.tenants.size(); ++i) names.tenants.push_back(config.tables.tenants.name(i));
+  for (int i = 0; i < config.tables.classes.size(); ++i)
+    names.classes.push_back(config.tables.classes.name(i));
+  for (int i = 0; i < config.tables.tenants.size(); ++i)
+    names.tenants.push_back(config.tables.tenants.name(i));
   routes::Facts facts;
   facts.cls = config.tables.classes.find(options.cls, "class");
   if (!options.tenant.empty()) facts.tenant = config.tables.tenants.find(options.tenant, "tenant");
--- a/src/commands/plan.cpp
+++ b/src/commands/plan.cpp
@@ -32,7 +32,8 @@
   routes::register_traffic(schema, traffic);
   const conf::Document document = read(traffic_path);
   const auto faults = schema.apply(document);
-  if (!faults.empty()) throw std::runtime_error("traffic file cannot be used:\n" + conf::render(document, faults));
+  if (!faults.empty())
+    throw std::runtime_error("traffic file cannot be used:\n" + conf::render(document, faults));
   if (traffic.cores <= 0) throw std::runtime_error(traffic_path + ": a block 'engines' is missing");
 
   using Planner = void (*)(const routes::Traffic*, const Settings*, const Tables*, routes::Plan*);
@@ -55,8 +56,9 @@
   std::vector<routes::Wrong> wrong;
   routes::checked(all, config.settings, config.tables, wrong);
   if (!wrong.empty()) {
-    throw std::runtime_error((own > 0 ? "beside " + conf_path + " the plan does not pass: " : "the plan does not pass: ") +
-                             wrong.front().text);
+    throw std::runtime_error(
+        (own > 0 ? "beside " + conf_path + " the plan does not pass: " : "the plan does not pass: ") +
+        wrong.front().text);
   }
   out << planned.file();
 }
--- a/src/commands/plan.h
+++ b/src/commands/plan.h
@@ -6,8 +6,8 @@
 
 namespace steprail::commands {
 
-// Throws std::runtime_error where a file cannot be used, or there is no plan. `conf` may be empty: the operator's
-// present file, whose routes the plan is not to cross.
+// Throws std::runtime_error where a file cannot be used, or there is no plan. `conf` may be empty: the
+// operator's present file, whose routes the plan is not to cross.
 void plan(const std::string& config, const std::string& conf, const std::string& traffic, std::ostream& out);
 
 }  // namespace steprail::commands
--- a/src/conf/document.cpp
+++ b/src/conf/document.cpp
@@ -18,9 +18,10 @@
 struct quoted_text : star<sor<escaped, plain>> {};
 struct quote_end : one<'"'> {};
 struct quoted : if_must<one<'"'>, quoted_text, quote_end> {};
-struct bare : plus<sor<ranges<'a', 'z', 'A', 'Z', '0', '9'>, one<'_', '-', '.', ':', '/', '%', '*', '+', ',',
-                                                                    '=', '@', '[', ']', '~', '?', '!', '&'>,
-                       utf8::range<0x80, 0x10ffff>>> {};
+struct bare
+    : plus<sor<ranges<'a', 'z', 'A', 'Z', '0', '9'>,
+               one<'_', '-', '.', ':', '/', '%', '*', '+', ',', '=', '@', '[', ']', '~', '?', '!', '&'>,
+               utf8::range<0x80, 0x10ffff>>> {};
 struct opening : one<'{'> {};
 struct closing : one<'}'> {};
 struct words : plus<sor<quoted, bare>, blanks> {};
@@ -35,7 +36,8 @@
 };
 template <>
 struct Complaint<grammar::quote_end> {
-  static constexpr const char* text = "quoted text does not end, or holds a '\\' before another character than '\"' and '\\'";
+  static constexpr const char* text =
+      "quoted text does not end, or holds a '\\' before another character than '\"' and '\\'";
 };
 template <>
 struct Complaint<grammar::line_end> {
@@ -130,8 +132,8 @@
   }
   while (!open.empty()) {
     const Word& head = open.back().node.words.front();
-    document.faults.push_back(
-        {open.back().line, head.column, head.text.size(), "block '" + head.text + "' is not closed by a '}'"});
+    document.faults.push_back({open.back().line, head.column, head.text.size(),
+                               "block '" + head.text + "' is not closed by a '}'"});
     Node node = std::move(open.back().node);
     open.pop_back();
     place(std::move(node));
--- a/src/conf/schema.cpp
+++ b/src/conf/schema.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>
 #include <charconv>
 #include <cmath>
-#include <utility>
 #include <optional>
+#include <utility>
 
 namespace steprail::conf {
 namespace {
@@ -13,8 +13,7 @@
   std::string_view name;
   double factor;
 };
-constexpr Unit kByteUnits[] = {
-    {"g", 1024.0 * 1024 * 1024}, {"m", 1024.0 * 1024}, {"k", 1024.0}, {"", 1}};
+constexpr Unit kByteUnits[] = {{"g", 1024.0 * 1024 * 1024}, {"m", 1024.0 * 1024}, {"k", 1024.0}, {"", 1}};
 constexpr Unit kTimeUnits[] = {{"h", 3.6e9}, {"m", 6e7}, {"s", 1e6}, {"ms", 1e3}};
 
 // The largest unit that the value is a whole number of.
@@ -166,8 +165,8 @@
   std::map<std::string, std::size_t> seen_blocks;
   for (const Node& node : document.nodes) {
     const Word& head = node.words.front();
-    const auto block = std::find_if(blocks_.begin(), blocks_.end(),
-                                    [&](const Block& b) { return b.name_ == head.text; });
+    const auto block =
+        std::find_if(blocks_.begin(), blocks_.end(), [&](const Block& b) { return b.name_ == head.text; });
     if (block == blocks_.end()) {
       std::vector<std::string> names;
       for (const Block& b : blocks_) names.push_back(b.name_);
@@ -180,8 +179,9 @@
     }
     const bool named = static_cast<bool>(block->named_);
     if (node.words.size() > (named ? 2u : 1u)) {
-      faults.push_back(at(node.words[named ? 2 : 1], "'" + head.text + (named ? "' takes one name" : "' takes no words") +
-                                                         " before '{'"));
+      faults.push_back(
+          at(node.words[named ? 2 : 1],
+             "'" + head.text + (named ? "' takes one name" : "' takes no words") + " before '{'"));
     }
     if (named && node.words.size() < 2) {
       faults.push_back(at(head, "'" + head.text + "' lacks a name: " + head.text + " NAME { ... }"));
@@ -190,8 +190,8 @@
     const std::string whole_name = named ? head.text + ' ' + node.words[1].text : head.text;
     const auto [before, fresh] = seen_blocks.try_emplace(whole_name, head.line);
     if (!fresh) {
-      faults.push_back(at(head, "block '" + whole_name + "' stands in line " +
-                                    std::to_string(before->second) + " already"));
+      faults.push_back(at(
+          head, "block '" + whole_name + "' stands in line " + std::to_string(before->second) + " already"));
       continue;
     }
     if (block->present_) block->present_();
@@ -218,8 +218,8 @@
       }
       const auto [earlier, first] = places.try_emplace(word.text, word);
       if (!first && !directive.repeated_) {
-        faults.push_back(at(word, "'" + word.text + "' stands in line " +
-                                      std::to_string(earlier->second.line) + " already"));
+        faults.push_back(at(
+            word, "'" + word.text + "' stands in line " + std::to_string(earlier->second.line) + " already"));
         continue;
       }
       Directive::Given given;
@@ -249,8 +249,9 @@
         if (option == directive.options_.end()) {
           std::vector<std::string> names;
           for (const Argument& a : directive.options_) names.push_back(a.name);
-          faults.push_back(at(name, names.empty() ? "'" + word.text + "' ends before this: " + directive.usage()
-                                                  : unknown("word of " + directive.name_, name.text, names)));
+          faults.push_back(at(name, names.empty()
+                                        ? "'" + word.text + "' ends before this: " + directive.usage()
+                                        : unknown("word of " + directive.name_, name.text, names)));
           good = false;
         } else if (next >= inner.words.size()) {
           faults.push_back(at(name, "'" + name.text + "' lacks a value: " + directive.usage()));
--- a/src/conf/schema.h
+++ b/src/conf/schema.h
@@ -1,5 +1,6 @@
-// What may stand in the operator's file: each subsystem registers its blocks and directives, with unit, range,
-// default and one line of help. The same registration checks a file, fills settings in, and prints the reference.
+// What may stand in the operator's file: each subsystem registers its blocks and directives, with unit,
+// range, default and one line of help. The same registration checks a file, fills settings in, and prints the
+// reference.
 #pragma once
 
 #include <cstdint>
@@ -108,8 +109,8 @@
     present_ = std::move(then);
     return *this;
   }
-  // The block may stand any number of times, each under a name of its own: `route NAME { ... }`. Called for each,
-  // with its name and line; what it returns, if anything, is wrong with the name.
+  // The block may stand any number of times, each under a name of its own: `route NAME { ... }`. Called for
+  // each, with its name and line; what it returns, if anything, is wrong with the name.
   Block& named(std::function<std::string(const std::string&, std::size_t)> then) {
     named_ = std::move(then);
     return *this;
--- a/src/core/coordinator.cpp
+++ b/src/core/coordinator.cpp
@@ -374,7 +374,9 @@
 }
 
 void Coordinator::carry_out(const Probe& probe) { engines_->probe(probe.engine); }
-void Coordinator::carry_out(const Timer& timer) { timeouts_.push({timer.due, Due::kAlarm, timer.label, 0, 0}); }
+void Coordinator::carry_out(const Timer& timer) {
+  timeouts_.push({timer.due, Due::kAlarm, timer.label, 0, 0});
+}
 void Coordinator::carry_out(const Log& text) { log_.line(text.text); }
 
 }  // namespace steprail
--- a/src/core/coordinator.h
+++ b/src/core/coordinator.h
@@ -61,7 +61,7 @@
     Out out{Out::kNone};
     int engine{};
     Micros sent{0};
-    Outcome given_up{};              // what the module is told of an attempt that was given up
+    Outcome given_up{};  // what the module is told of an attempt that was given up
     EndCause given_up_cause{};
     std::vector<std::string> pages;  // of an attempt that was delivered but not yet told
   };
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -17,17 +17,18 @@
   int front{};  // which of the coordinator's fronts, as Coordinator::attach() has numbered it
 };
 
-// Takes the pages of an attempt as they come in, for a front that keeps results itself. Without one the engines
-// gather them and they come with the answer, within the platform's bound on a result.
+// Takes the pages of an attempt as they come in, for a front that keeps results itself. Without one the
+// engines gather them and they come with the answer, within the platform's bound on a result.
 class PageSink {
  public:
   enum class Want { kMore, kEnough };
   virtual ~PageSink() = default;
-  // The attempt's answer is there: so many pages, and the first of them. kEnough: the others are of no use; the
-  // engine is let go, and the attempt counts as delivered all the same, for it has run to its end.
+  // The attempt's answer is there: so many pages, and the first of them. kEnough: the others are of no use;
+  // the engine is let go, and the attempt counts as delivered all the same, for it has run to its end.
   virtual Want begin(RequestId id, int attempt, std::size_t pages, std::string_view first) = 0;
   virtual Want page(RequestId id, int attempt, std::size_t number, std::string_view bytes) = 0;
-  // The attempt is over without its last page: nothing of it may be used. May be said of one that never began.
+  // The attempt is over without its last page: nothing of it may be used. May be said of one that never
+  // began.
   virtual void lost(RequestId id, int attempt) = 0;
 };
 
@@ -45,7 +46,7 @@
   Micros limit{0};  // how long the client waits from then on
   std::string statement;
   Ticket ticket;
-  PageSink* sink{};          // null: pages come with the answer
+  PageSink* sink{};           // null: pages come with the answer
   std::size_t result_most{};  // bytes, where there is a sink
 };
 
--- a/src/edge/codec.cpp
+++ b/src/edge/codec.cpp
@@ -1,8 +1,7 @@
 #include "edge/codec.h"
 
-#include <nlohmann/json.hpp>
-
 #include <charconv>
+#include <nlohmann/json.hpp>
 
 namespace steprail::edge {
 namespace {
@@ -48,7 +47,8 @@
 std::uint64_t unhex(const std::string& text) {
   std::uint64_t number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number, 16);
-  if (error != std::errc{} || end != text.data() + text.size()) throw std::invalid_argument("no hexadecimal number");
+  if (error != std::errc{} || end != text.data() + text.size())
+    throw std::invalid_argument("no hexadecimal number");
   return number;
 }
 
@@ -96,7 +96,8 @@
   for (std::size_t i = 0; i < bytes.size(); i += 3) {
     const std::size_t left = std::min<std::size_t>(3, bytes.size() - i);
     std::uint32_t group = 0;
-    for (std::size_t j = 0; j < 3; ++j) group = group << 8 | (j < left ? static_cast<unsigned char>(bytes[i + j]) : 0);
+    for (std::size_t j = 0; j < 3; ++j)
+      group = group << 8 | (j < left ? static_cast<unsigned char>(bytes[i + j]) : 0);
     for (std::size_t j = 0; j < 4; ++j) out.push_back(j <= left ? digits[group >> (18 - 6 * j) & 63] : '=');
   }
   return out;
@@ -124,7 +125,11 @@
 bool is_utf8(std::string_view text) {
   for (std::size_t i = 0; i < text.size();) {
     const auto c = static_cast<unsigned char>(text[i]);
-    const std::size_t more = c < 0x80 ? 0 : c >= 0xc2 && c < 0xe0 ? 1 : (c & 0xf0) == 0xe0 ? 2 : c >= 0xf0 && c < 0xf5 ? 3 : 9;
+    const std::size_t more = c < 0x80                ? 0
+                             : c >= 0xc2 && c < 0xe0 ? 1
+                             : (c & 0xf0) == 0xe0    ? 2
+                             : c >= 0xf0 && c < 0xf5 ? 3
+                                                     : 9;
     if (more == 9 || i + more >= text.size() + 0u) {
       if (more == 9 || i + more > text.size() - 1) return false;
     }
@@ -134,7 +139,8 @@
       if ((next & 0xc0) != 0x80) return false;
       point = point << 6 | (next & 0x3f);
     }
-    if ((more == 2 && (point < 0x800 || (point >= 0xd800 && point < 0xe000))) || (more == 3 && (point < 0x10000 || point > 0x10ffff)))
+    if ((more == 2 && (point < 0x800 || (point >= 0xd800 && point < 0xe000))) ||
+        (more == 3 && (point < 0x10000 || point > 0x10ffff)))
       return false;
     i += more + 1;
   }
@@ -157,14 +163,16 @@
       out["how"] = word(kHows, b.outcome.how);
       out["again"] = b.outcome.again;
       if (b.outcome.later.count() > 0) out["later"] = b.outcome.later.count() / 1000;
-      if (b.outcome.how == Outcome::How::kServed) out["rows"] = b.outcome.rows, out["bytes"] = b.outcome.bytes;
+      if (b.outcome.how == Outcome::How::kServed)
+        out["rows"] = b.outcome.rows, out["bytes"] = b.outcome.bytes;
       break;
     case Body::Kind::kRows:
       out["row"] = b.row;
       out["count"] = b.count;
       out["last"] = b.last;
       if (b.text) {
-        // The rows' bytes are the engine's: where they are no text, they go as they can without being changed.
+        // The rows' bytes are the engine's: where they are no text, they go as they can without being
+        // changed.
         if (format == Format::kCbor) {
           out["text"] = json::binary({b.text->begin(), b.text->end()});
         } else if (is_utf8(*b.text)) {
@@ -207,8 +215,9 @@
       b.last = in.at("last");
       if (in.contains("text")) {
         const json& text = in.at("text");
-        b.text = text.is_binary() ? std::make_shared<const std::string>(text.get_binary().begin(), text.get_binary().end())
-                                  : std::make_shared<const std::string>(text.get<std::string>());
+        b.text = text.is_binary()
+                     ? std::make_shared<const std::string>(text.get_binary().begin(), text.get_binary().end())
+                     : std::make_shared<const std::string>(text.get<std::string>());
       } else if (in.contains("base64")) {
         b.text = std::make_shared<const std::string>(unbase64(in.at("base64")));
       }
@@ -226,7 +235,10 @@
       if (!f.token.empty()) out["token"] = f.token;
       break;
     case Type::kWelcome:
-      out.update({{"token", f.token}, {"incarnation", hex(f.incarnation)}, {"have", f.have}, {"resumed", f.resumed},
+      out.update({{"token", f.token},
+                  {"incarnation", hex(f.incarnation)},
+                  {"have", f.have},
+                  {"resumed", f.resumed},
                   {"heartbeat", f.heartbeat_ms}});
       break;
     case Type::kMessage:
--- a/src/edge/codec.h
+++ b/src/edge/codec.h
@@ -15,7 +15,8 @@
 constexpr int kNestingMost = 6;
 
 std::string encode(const Frame& frame, Format format);
-// False where it is no frame: unreadable, nested too deep, or with fields of the wrong kind; `why` says which.
+// False where it is no frame: unreadable, nested too deep, or with fields of the wrong kind; `why` says
+// which.
 bool decode(std::string_view bytes, Format format, Frame& frame, std::string& why);
 
 // What a device sends to the long poll, and what it gets.
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -25,8 +25,8 @@
   std::string bytes((std::istreambuf_iterator<char>(file)), {});
   if (bytes.size() < secret.size())
     throw std::runtime_error("secret " + path + " cannot be read, or has fewer than 32 bytes");
-  crypto_generichash(secret.data(), secret.size(), reinterpret_cast<const unsigned char*>(bytes.data()), bytes.size(),
-                     nullptr, 0);
+  crypto_generichash(secret.data(), secret.size(), reinterpret_cast<const unsigned char*>(bytes.data()),
+                     bytes.size(), nullptr, 0);
   return secret;
 }
 
@@ -46,7 +46,8 @@
       entries(m.gauge("steprail_edge_ledger_entries", "Outcomes known.")),
       begun(m.gauge("steprail_edge_sessions_begun_total", "Sessions begun.")),
       resumed(m.gauge("steprail_edge_resumed_total", "Sessions resumed by another connection.")),
-      taken_over(m.gauge("steprail_edge_taken_over_total", "Of these, while the old one still looked alive.")),
+      taken_over(
+          m.gauge("steprail_edge_taken_over_total", "Of these, while the old one still looked alive.")),
       expired(m.gauge("steprail_edge_expired_total", "Sessions given up.")),
       turned_away(m.gauge("steprail_edge_turned_away_total", "Connections refused or told to come later.")),
       forged(m.gauge("steprail_edge_forged_total", "Tokens or acknowledgements that could not be.")),
@@ -80,13 +81,12 @@
       spool::posix_files(conf.ledger_folder);  // makes the folder, or says why not
       index = spool::lmdb_index(conf.ledger_folder, conf.ledger_most);
     }
-    ledger_ = std::make_unique<LedgerWriter>(strand, std::move(index), settings.tenants,
-                                             [this](const Record& record, bool durable) {
-                                               if (!durable)
-                                                 log_.event(Level::kError, "edge-not-recorded", {{"fate", name(record.fate)}});
-                                               logic_->recorded(record, durable, now(), acts_);
-                                               run();
-                                             });
+    ledger_ = std::make_unique<LedgerWriter>(
+        strand, std::move(index), settings.tenants, [this](const Record& record, bool durable) {
+          if (!durable) log_.event(Level::kError, "edge-not-recorded", {{"fate", name(record.fate)}});
+          logic_->recorded(record, durable, now(), acts_);
+          run();
+        });
     found = ledger_->recover(fresh, unix_now());
     log_.event(found.usable && found.unreadable == 0 ? Level::kInfo : Level::kError, "edge-ledger",
                {{"entries", found.records.size()},
@@ -94,8 +94,8 @@
                 {"incarnations", found.incarnations.size()},
                 {"usable", found.usable ? "yes" : "no"}});
   }
-  logic_ = std::make_unique<EdgeLogic>(settings, Sealer(secret_of(conf.secret_file)), found.incarnations, seed, now(),
-                                       unix_now());
+  logic_ = std::make_unique<EdgeLogic>(settings, Sealer(secret_of(conf.secret_file)), found.incarnations,
+                                       seed, now(), unix_now());
   for (const Record& record : found.records) logic_->recover(record, acts_);
   run();
 }
@@ -245,7 +245,8 @@
   const auto keep_whole = [&](spool::Window window) {
     outcome.rows = window.total_rows;
     outcome.bytes = window.bytes;
-    if (direct_bytes_ + window.bytes > kDirectMost) return;  // the device is told, though its rows are not kept
+    if (direct_bytes_ + window.bytes > kDirectMost)
+      return;  // the device is told, though its rows are not kept
     direct_bytes_ += window.bytes;
     result.direct = true;
     result.whole = std::move(window);
@@ -287,7 +288,8 @@
   if (at == results_.end()) {
     // A result of a process before this one, which the spool may have found on disk.
     const auto view = spool_.logic().view(act.request);
-    if (view && spool_.resume(act.request, static_cast<int>(view->tenant), act.request | kOwnReader).access == spool::Access::kGranted) {
+    if (view && spool_.resume(act.request, static_cast<int>(view->tenant), act.request | kOwnReader).access ==
+                    spool::Access::kGranted) {
       Result result;
       result.tenant = static_cast<int>(view->tenant);
       result.handle = *view->handle;
@@ -323,7 +325,8 @@
   EdgeLogic::Rows rows{act.session, act.request, act.row, window.rows, nullptr, false};
   if (window.error == spool::StoreError::kNone) {
     auto text = std::make_shared<std::string>();
-    for (const spool::Slice& slice : window.slices) text->append(*slice.page, slice.from, slice.to - slice.from);
+    for (const spool::Slice& slice : window.slices)
+      text->append(*slice.page, slice.from, slice.to - slice.from);
     rows.text = std::move(text);
     rows.last = window.last();
   }
@@ -373,7 +376,9 @@
 
 void Edge::observe() {
   const Counts& c = logic_->counts();
-  const auto set = [](prometheus::Gauge& gauge, std::uint64_t value) { gauge.Set(static_cast<double>(value)); };
+  const auto set = [](prometheus::Gauge& gauge, std::uint64_t value) {
+    gauge.Set(static_cast<double>(value));
+  };
   set(counted_.sessions, logic_->sessions());
   set(counted_.live, logic_->live());
   set(counted_.bytes, logic_->memory().used());
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -1,5 +1,5 @@
-// The edge put together: its logic, its ledger's disk, the links of its fronts, and the way to the coordinator and
-// the spool. On the coordinator's strand, the ledger's thread excepted.
+// The edge put together: its logic, its ledger's disk, the links of its fronts, and the way to the
+// coordinator and the spool. On the coordinator's strand, the ledger's thread excepted.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -30,10 +30,11 @@
 
 class Edge : public Front {
  public:
-  // Throws std::runtime_error where the ledger's folder or the secret's file cannot be used. `index` stands in for
-  // the folder in tests.
+  // Throws std::runtime_error where the ledger's folder or the secret's file cannot be used. `index` stands
+  // in for the folder in tests.
   Edge(Strand strand, Coordinator& coordinator, EventLog& log, Metrics& metrics, const Tables& tables,
-       spool::Spool& spool, const EdgeConf& conf, std::uint64_t seed, std::unique_ptr<spool::Index> index = nullptr);
+       spool::Spool& spool, const EdgeConf& conf, std::uint64_t seed,
+       std::unique_ptr<spool::Index> index = nullptr);
   ~Edge() override;
 
   void reconfigure(const EdgeConf& conf);
@@ -49,8 +50,8 @@
   void answer(const Ticket& ticket, Answer answer) override;
   void flush() override {}
 
-  // At SIGTERM: devices are told; settled() once all that was taken is answered and, as far as devices are there,
-  // has arrived.
+  // At SIGTERM: devices are told; settled() once all that was taken is answered and, as far as devices are
+  // there, has arrived.
   void drain();
   bool settled() const { return logic_->settled() && (!ledger_ || ledger_->idle()); }
   void observe();
@@ -108,8 +109,8 @@
   struct Counted {
     explicit Counted(Metrics& metrics);
     prometheus::Gauge &sessions, &live, &bytes, &waiting, &entries;
-    prometheus::Gauge &begun, &resumed, &taken_over, &expired, &turned_away, &forged, &suspected, &requests, &repeats,
-        &answers, &unknowns, &refused, &commits, &records;
+    prometheus::Gauge &begun, &resumed, &taken_over, &expired, &turned_away, &forged, &suspected, &requests,
+        &repeats, &answers, &unknowns, &refused, &commits, &records;
   } counted_;
 };
 
--- a/src/edge/fronts.cpp
+++ b/src/edge/fronts.cpp
@@ -23,7 +23,7 @@
 constexpr std::chrono::seconds kIdleWait{60};    // between requests of one connection
 constexpr std::size_t kQueueHigh = 64 << 10;     // bytes to one device, from which on it gets no more for now
 constexpr std::size_t kQueueMost = 4 << 20;
-constexpr Micros kPollGone{60'000'000};          // without a poll the link is given up
+constexpr Micros kPollGone{60'000'000};  // without a poll the link is given up
 constexpr std::size_t kPollFrames = 64, kPollQueueMost = 1024;
 constexpr std::chrono::milliseconds kAcceptPause{50}, kSweep{1000};
 constexpr const char *kCborProtocol = "steprail.cbor", *kJsonProtocol = "steprail.json";
@@ -65,16 +65,19 @@
     deflate.server_enable = true;
     deflate.compLevel = 3;
     deflate.memLevel = 4;
-    // A window of its own for every message: memory for 10,000 idle devices would be the price of a better one.
+    // A window of its own for every message: memory for 10,000 idle devices would be the price of a better
+    // one.
     deflate.server_no_context_takeover = deflate.client_no_context_takeover = true;
     deflate.server_max_window_bits = deflate.client_max_window_bits = 12;
     stream_.set_option(deflate);
     // Counted once it is decompressed: a bomb ends here.
     stream_.read_message_max(kFrameMost);
     stream_.binary(format_ == Format::kCbor);
-    stream_.set_option(websocket::stream_base::decorator([format = format_](websocket::response_type& response) {
-      response.set(http::field::sec_websocket_protocol, format == Format::kCbor ? kCborProtocol : kJsonProtocol);
-    }));
+    stream_.set_option(
+        websocket::stream_base::decorator([format = format_](websocket::response_type& response) {
+          response.set(http::field::sec_websocket_protocol,
+                       format == Format::kCbor ? kCborProtocol : kJsonProtocol);
+        }));
     auto held = std::make_shared<http::request<http::string_body>>(std::move(request));
     stream_.async_accept(*held, [self = shared_from_this(), held](error_code error) {
       if (error || !*self->alive_) return;
@@ -94,7 +97,8 @@
     queued_ += bytes.size();
     queue_.push_back(std::move(bytes));
     if (queued_ > kQueueMost) return fail();
-    if (queued_ > kQueueHigh && !std::exchange(full_, true)) later([](WebSocket& s) { s.fronts_.edge_.room(s.conn_, false); });
+    if (queued_ > kQueueHigh && !std::exchange(full_, true))
+      later([](WebSocket& s) { s.fronts_.edge_.room(s.conn_, false); });
     write();
   }
   void close() override {
@@ -116,7 +120,8 @@
       Frame frame;
       std::string why;
       const auto data = self->buffer_.cdata();
-      const bool good = decode({static_cast<const char*>(data.data()), data.size()}, self->format_, frame, why);
+      const bool good =
+          decode({static_cast<const char*>(data.data()), data.size()}, self->format_, frame, why);
       self->buffer_.consume(data.size());
       if (self->buffer_.capacity() > kHeaderMost) self->buffer_.shrink_to_fit();
       if (self->closing_) return self->read();  // what comes after the close is nobody's
@@ -143,19 +148,20 @@
     }
     writing_ = true;
     ++fronts_.writing_;
-    stream_.async_write(boost::asio::buffer(queue_.front()), [self = shared_from_this()](error_code error, std::size_t) {
-      if (!*self->alive_) return;
-      self->writing_ = false;
-      --self->fronts_.writing_;
-      self->queued_ -= self->queue_.front().size();
-      self->queue_.pop_front();
-      if (error) return self->gone();
-      if (self->full_ && self->queued_ < kQueueHigh / 2) {
-        self->full_ = false;
-        if (!self->closing_) self->fronts_.edge_.room(self->conn_, true);
-      }
-      self->write();
-    });
+    stream_.async_write(boost::asio::buffer(queue_.front()),
+                        [self = shared_from_this()](error_code error, std::size_t) {
+                          if (!*self->alive_) return;
+                          self->writing_ = false;
+                          --self->fronts_.writing_;
+                          self->queued_ -= self->queue_.front().size();
+                          self->queue_.pop_front();
+                          if (error) return self->gone();
+                          if (self->full_ && self->queued_ < kQueueHigh / 2) {
+                            self->full_ = false;
+                            if (!self->closing_) self->fronts_.edge_.room(self->conn_, true);
+                          }
+                          self->write();
+                        });
   }
   void fail() {
     later([](WebSocket& s) { s.gone(); });
@@ -184,7 +190,8 @@
 class Fronts::Poll : public Link, public std::enable_shared_from_this<Poll> {
  public:
   using Respond = std::function<void(std::vector<Frame>)>;
-  Poll(Fronts& fronts, std::string name) : fronts_(fronts), alive_(fronts.alive_), name_(std::move(name)), wait_(fronts.strand_) {
+  Poll(Fronts& fronts, std::string name)
+      : fronts_(fronts), alive_(fronts.alive_), name_(std::move(name)), wait_(fronts.strand_) {
     fronts_.links_.open(name_, now());
   }
   void opened(ConnId conn) { conn_ = conn; }
@@ -194,8 +201,8 @@
   bool ended() const { return ended_; }
 
   void send(const Frame& frame) override {
-    // A device that sends and never polls gets no more than so much laid by; what it lacks is sent after its next
-    // poll, and acknowledgements are cumulative.
+    // A device that sends and never polls gets no more than so much laid by; what it lacks is sent after its
+    // next poll, and acknowledgements are cumulative.
     if (queue_.size() >= kPollQueueMost) return;
     queue_.push_back(frame);
     soon();
@@ -286,22 +293,26 @@
     parser_->body_limit(kBodyMost);
     // From the first byte on a request has its time, however slowly the others follow.
     stream_.expires_after(first ? kRequestWait : kIdleWait);
-    http::async_read_header(stream_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (!*self->alive_) return;
-      if (error) return self->bad(error);
-      self->stream_.expires_after(kRequestWait);
-      http::async_read(self->stream_, self->buffer_, *self->parser_, [self](error_code e, std::size_t) {
-        if (!*self->alive_) return;
-        if (e) return self->bad(e);
-        self->take();
-      });
-    });
+    http::async_read_header(
+        stream_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
+          if (!*self->alive_) return;
+          if (error) return self->bad(error);
+          self->stream_.expires_after(kRequestWait);
+          http::async_read(self->stream_, self->buffer_, *self->parser_, [self](error_code e, std::size_t) {
+            if (!*self->alive_) return;
+            if (e) return self->bad(e);
+            self->take();
+          });
+        });
   }
 
  private:
   void bad(error_code error) {
-    if (error == http::error::header_limit) return answer(http::status::request_header_fields_too_large, "headers", "headers are too long", false, true);
-    if (error == http::error::body_limit) return answer(http::status::payload_too_large, "body", "the body is too long", false, true);
+    if (error == http::error::header_limit)
+      return answer(http::status::request_header_fields_too_large, "headers", "headers are too long", false,
+                    true);
+    if (error == http::error::body_limit)
+      return answer(http::status::payload_too_large, "body", "the body is too long", false, true);
     // Cut, late or no HTTP at all: there is nobody to be told.
     error_code ignored;
     stream_.socket().close(ignored);
@@ -313,20 +324,24 @@
     keep_ = request.keep_alive();
     const std::string target(request.target());
     if (websocket::is_upgrade(request)) {
-      if (target != "/edge/ws") return answer(http::status::not_found, "path", "devices connect at /edge/ws", false);
+      if (target != "/edge/ws")
+        return answer(http::status::not_found, "path", "devices connect at /edge/ws", false);
       const std::string offered(request[http::field::sec_websocket_protocol]);
       const bool cbor = offered.find(kCborProtocol) != std::string::npos;
       if (!cbor && offered.find(kJsonProtocol) == std::string::npos)
         return answer(http::status::bad_request, "subprotocol", "steprail.cbor or steprail.json", false);
-      std::make_shared<WebSocket>(fronts_, std::move(stream_), cbor ? Format::kCbor : Format::kJson)->run(std::move(request));
+      std::make_shared<WebSocket>(fronts_, std::move(stream_), cbor ? Format::kCbor : Format::kJson)
+          ->run(std::move(request));
       return;
     }
-    if (request.method() != http::verb::post) return answer(http::status::method_not_allowed, "method", "POST alone", false);
+    if (request.method() != http::verb::post)
+      return answer(http::status::method_not_allowed, "method", "POST alone", false);
     const std::string type(request[http::field::content_type]);
     format_ = type.find("cbor") != std::string::npos ? Format::kCbor : Format::kJson;
     Envelope envelope;
     std::string why;
-    if (!decode(request.body(), format_, envelope, why)) return answer(http::status::bad_request, "unreadable", why, false);
+    if (!decode(request.body(), format_, envelope, why))
+      return answer(http::status::bad_request, "unreadable", why, false);
     if (target == "/edge/open") return open(envelope);
     const auto poll = fronts_.find(envelope.link);
     if (!poll) return answer(http::status::gone, "link", "there is no such link; open one", true);
@@ -344,10 +359,12 @@
   }
 
   void open(const Envelope& envelope) {
-    if (envelope.frames.size() != 1) return answer(http::status::bad_request, "hello-first", "one hello opens a link", false);
+    if (envelope.frames.size() != 1)
+      return answer(http::status::bad_request, "hello-first", "one hello opens a link", false);
     // A link outlives the connection that opened it: their number has a bound of its own.
     const PollLinks::Room room = fronts_.links_.room(fronts_.limits_.connections);
-    if (!room.is) return answer(http::status::service_unavailable, "links", "no room for another link now", true);
+    if (!room.is)
+      return answer(http::status::service_unavailable, "links", "no room for another link now", true);
     for (const std::string& link : room.gives_way) fronts_.drop(link);
     unsigned char bytes[16];
     randombytes_buf(bytes, sizeof bytes);
@@ -368,7 +385,8 @@
       self->waiting_ = false;
       if (*self->alive_) self->give(name, std::move(frames));
     });
-    // Nothing is read while a poll waits, so that a device that hangs up would keep its place until the wait is over.
+    // Nothing is read while a poll waits, so that a device that hangs up would keep its place until the wait
+    // is over.
     stream_.socket().async_wait(tcp::socket::wait_read, [self, poll, serial](error_code error) {
       if (error || !*self->alive_ || !self->waiting_) return;
       char byte = 0;
@@ -389,28 +407,31 @@
     }
     respond(http::status::ok, std::move(body), false);
   }
-  void answer(http::status status, const char* code, const std::string& text, bool again, bool close = false) {
+  void answer(http::status status, const char* code, const std::string& text, bool again,
+              bool close = false) {
     respond(status, encode(error_frame(code, text, again), format_), close);
   }
   void respond(http::status status, std::string body, bool close) {
     auto response = std::make_shared<http::response<http::string_body>>(status, version_);
-    response->set(http::field::content_type, format_ == Format::kCbor ? "application/cbor" : "application/json");
+    response->set(http::field::content_type,
+                  format_ == Format::kCbor ? "application/cbor" : "application/json");
     response->set(http::field::cache_control, "no-store");
     response->keep_alive(keep_ && !close);
     response->body() = std::move(body);
     response->prepare_payload();
     stream_.expires_after(kRequestWait);
     ++fronts_.writing_;
-    http::async_write(stream_, *response, [self = shared_from_this(), response](error_code error, std::size_t) {
-      if (!*self->alive_) return;
-      --self->fronts_.writing_;
-      if (error || response->need_eof()) {
-        error_code ignored;
-        self->stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
-        return;
-      }
-      self->read(false);
-    });
+    http::async_write(stream_, *response,
+                      [self = shared_from_this(), response](error_code error, std::size_t) {
+                        if (!*self->alive_) return;
+                        --self->fronts_.writing_;
+                        if (error || response->need_eof()) {
+                          error_code ignored;
+                          self->stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
+                          return;
+                        }
+                        self->read(false);
+                      });
   }
 
   Fronts& fronts_;
@@ -426,7 +447,13 @@
 // ---- The listener ----
 
 Fronts::Fronts(Strand strand, EventLog& log, Edge& edge, Limits limits)
-    : strand_(strand), log_(log), edge_(edge), limits_(limits), acceptor_(strand), pause_(strand), sweep_(strand) {}
+    : strand_(strand),
+      log_(log),
+      edge_(edge),
+      limits_(limits),
+      acceptor_(strand),
+      pause_(strand),
+      sweep_(strand) {}
 
 Fronts::~Fronts() { *alive_ = false; }
 
@@ -480,7 +507,8 @@
   sweep_.expires_after(kSweep);
   sweep_.async_wait([this, alive = alive_](error_code error) {
     if (error || !*alive) return;
-    for (const std::string& link : links_.silent(now(), std::max(kPollGone, 2 * limits_.poll_wait))) drop(link);
+    for (const std::string& link : links_.silent(now(), std::max(kPollGone, 2 * limits_.poll_wait)))
+      drop(link);
     accept();
     sweep();
   });
--- a/src/edge/fronts.h
+++ b/src/edge/fronts.h
@@ -1,5 +1,5 @@
-// The edge's two fronts on one listener: WebSocket, and HTTP/1.1 long poll for links that let nothing else through.
-// docs/protocol/edge.md has paths, subprotocols and limits.
+// The edge's two fronts on one listener: WebSocket, and HTTP/1.1 long poll for links that let nothing else
+// through. docs/protocol/edge.md has paths, subprotocols and limits.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
--- a/src/edge/ledger/ledger_store.cpp
+++ b/src/edge/ledger/ledger_store.cpp
@@ -28,7 +28,8 @@
 std::uint64_t LedgerStore::place(const Record& record) const {
   const auto tenant = static_cast<std::size_t>(record.key.tenant);
   std::string text = record.mark ? "mark" : "key";
-  text += '\0' + (tenant < tenants_.size() ? tenants_[tenant] : std::string()) + '\0' + record.key.device + '\0';
+  text +=
+      '\0' + (tenant < tenants_.size() ? tenants_[tenant] : std::string()) + '\0' + record.key.device + '\0';
   if (!record.mark) text += std::to_string(record.key.number);
   const std::uint64_t hash = XXH3_64bits(text.data(), text.size());
   return hash == kIncarnations ? 1 : hash;
@@ -57,8 +58,12 @@
         record.digest = value.at("s");
         record.expires_unix_us = value.at("e");
         const json& o = value.at("o");
-        record.outcome = {static_cast<Outcome::How>(o.at(0).get<int>()), o.at(1), Micros{o.at(2).get<std::int64_t>()},
-                          o.at(3), o.at(4), o.at(5)};
+        record.outcome = {static_cast<Outcome::How>(o.at(0).get<int>()),
+                          o.at(1),
+                          Micros{o.at(2).get<std::int64_t>()},
+                          o.at(3),
+                          o.at(4),
+                          o.at(5)};
       }
       found.records.push_back(std::move(record));
     } catch (const std::exception&) {
@@ -92,12 +97,18 @@
       continue;
     }
     const auto tenant = static_cast<std::size_t>(r.key.tenant);
-    json value = {{"v", kVersion}, {"t", tenant < tenants_.size() ? tenants_[tenant] : std::string()},
-                  {"d", r.key.device}, {"n", r.key.number}, {"m", r.mark}};
+    json value = {{"v", kVersion},
+                  {"t", tenant < tenants_.size() ? tenants_[tenant] : std::string()},
+                  {"d", r.key.device},
+                  {"n", r.key.number},
+                  {"m", r.mark}};
     if (!r.mark) {
-      value.update({{"f", static_cast<int>(r.fate)}, {"s", r.digest}, {"e", r.expires_unix_us},
-                    {"o", json::array({static_cast<int>(r.outcome.how), r.outcome.again, r.outcome.later.count(),
-                                       r.outcome.request, r.outcome.rows, r.outcome.bytes})}});
+      value.update(
+          {{"f", static_cast<int>(r.fate)},
+           {"s", r.digest},
+           {"e", r.expires_unix_us},
+           {"o", json::array({static_cast<int>(r.outcome.how), r.outcome.again, r.outcome.later.count(),
+                              r.outcome.request, r.outcome.rows, r.outcome.bytes})}});
     }
     changes.push_back({place(r), to_bytes(value)});
   }
@@ -106,8 +117,8 @@
   return done == spool::Io::kGood;
 }
 
-LedgerWriter::LedgerWriter(Strand strand, std::unique_ptr<spool::Index> index, std::vector<std::string> tenants,
-                           Done done)
+LedgerWriter::LedgerWriter(Strand strand, std::unique_ptr<spool::Index> index,
+                           std::vector<std::string> tenants, Done done)
     : strand_(strand),
       index_(std::move(index)),
       store_(*index_, std::move(tenants)),
--- a/src/edge/ledger/ledger_store.h
+++ b/src/edge/ledger/ledger_store.h
@@ -1,5 +1,5 @@
-// The ledger on disk: one value a key in the embedded store, and the incarnations of this home. A thread of its own
-// writes; what comes while it is busy is its next transaction.
+// The ledger on disk: one value a key in the embedded store, and the incarnations of this home. A thread of
+// its own writes; what comes while it is busy is its next transaction.
 #pragma once
 
 #include <functional>
@@ -43,9 +43,12 @@
 class LedgerWriter {
  public:
   using Done = std::function<void(const Record&, bool durable)>;
-  LedgerWriter(Strand strand, std::unique_ptr<spool::Index> index, std::vector<std::string> tenants, Done done);
+  LedgerWriter(Strand strand, std::unique_ptr<spool::Index> index, std::vector<std::string> tenants,
+               Done done);
   // Blocks: at the start.
-  LedgerStore::Recovery recover(std::uint64_t fresh, std::int64_t now_unix_us) { return store_.recover(fresh, now_unix_us); }
+  LedgerStore::Recovery recover(std::uint64_t fresh, std::int64_t now_unix_us) {
+    return store_.recover(fresh, now_unix_us);
+  }
   void write(Record record);
   bool idle() const { return !busy_ && queue_.empty(); }
   std::uint64_t commits() const { return commits_; }
--- a/src/edge/logic/channel.h
+++ b/src/edge/logic/channel.h
@@ -1,11 +1,12 @@
 // Numbered messages to and from one peer, across any number of connections: each arrives once and in order.
 //
-// Numbers are 32 bits and wrap (RFC 1982's order). What was sent is kept until the peer has acknowledged it; a new
-// connection goes on behind the last one that the peer says it has. The device and the edge run the same code.
+// Numbers are 32 bits and wrap (RFC 1982's order). What was sent is kept until the peer has acknowledged it;
+// a new connection goes on behind the last one that the peer says it has. The device and the edge run the
+// same code.
 #pragma once
 
-#include <cstdint>
 #include <cstddef>
+#include <cstdint>
 #include <vector>
 
 namespace steprail::edge {
--- a/src/edge/logic/edge_logic.cpp
+++ b/src/edge/logic/edge_logic.cpp
@@ -9,7 +9,8 @@
 namespace {
 
 constexpr Micros kTick{10'000};
-constexpr std::size_t kUnreadPerAsk = 8;  // messages to a device that it may leave unacknowledged, for each open request
+constexpr std::size_t kUnreadPerAsk =
+    8;  // messages to a device that it may leave unacknowledged, for each open request
 // Of a timer's key: a connection's, else a session's.
 constexpr std::uint64_t kOfConn = std::uint64_t{1} << 63;
 
@@ -76,7 +77,8 @@
   fresh.timer = wheel_.schedule(now + settings_.hello_wait, conn | kOfConn);
 }
 
-void EdgeLogic::turn_away(ConnId conn, const char* code, const char* text, bool again, std::vector<Act>& out) {
+void EdgeLogic::turn_away(ConnId conn, const char* code, const char* text, bool again,
+                          std::vector<Act>& out) {
   ++counts_.turned_away;
   Frame error = frame(Frame::Type::kError);
   error.code = code;
@@ -218,7 +220,8 @@
       return;
     }
     const auto known = sessions_.find(token->session);
-    if (token->home == settings_.home && token->incarnation == ledger_.incarnation() && known != sessions_.end()) {
+    if (token->home == settings_.home && token->incarnation == ledger_.incarnation() &&
+        known != sessions_.end()) {
       Session& session = known->second;
       // What the device says it has must be something that it was sent.
       if (before(session.channel.next(), hello.have)) {
@@ -231,12 +234,13 @@
         at->second.hello.reset();
         return;
       }
-      // It lacks what it has acknowledged, and that is gone: it can't go on from there. What it asked for is in the
-      // ledger, and is told again in a session of its own.
+      // It lacks what it has acknowledged, and that is gone: it can't go on from there. What it asked for is
+      // in the ledger, and is told again in a session of its own.
       ++counts_.forged;
       expire(session, out);
     }
-    // Its process is gone, or its session has expired: it begins anew, and the ledger knows what it asked for.
+    // Its process is gone, or its session has expired: it begins anew, and the ledger knows what it asked
+    // for.
   }
   std::string why;
   Session* session = begin(hello, tenant, now, out, why);
@@ -252,9 +256,9 @@
   for (;;) {
     const auto own = by_device_.find({tenant, hello.device});
     if (own == by_device_.end() || own->second.size() < settings_.sessions_device) break;
-    const auto oldest = *std::min_element(own->second.begin(), own->second.end(), [&](SessionId a, SessionId b) {
-      return sessions_.at(a).heard < sessions_.at(b).heard;
-    });
+    const auto oldest = *std::min_element(
+        own->second.begin(), own->second.end(),
+        [&](SessionId a, SessionId b) { return sessions_.at(a).heard < sessions_.at(b).heard; });
     expire(sessions_.at(oldest), out);  // with its last session the device's place goes as well
   }
   if (sessions_.size() >= settings_.sessions_most || by_tenant_[t] >= settings_.sessions_tenant) {
@@ -277,7 +281,8 @@
 void EdgeLogic::attach(Session& session, ConnId conn, const Frame& hello, bool resumed, Micros now,
                        std::vector<Act>& out) {
   if (session.conn != 0) {
-    // The old connection looks alive, but the device is here: whatever still comes by that one is not its word.
+    // The old connection looks alive, but the device is here: whatever still comes by that one is not its
+    // word.
     ++counts_.taken_over;
     const ConnId old = session.conn;
     Frame error = frame(Frame::Type::kError);
@@ -407,8 +412,8 @@
 void EdgeLogic::message(Session& session, const Frame& frame, Micros now, std::vector<Act>& out) {
   if (!acknowledged(session, frame.have, now, out)) return;
   const ConnId conn = session.conn;
-  // Each message may bring an answer, and answers are kept until they are acknowledged: a device that asks on and
-  // acknowledges nothing would fill its replay window without end.
+  // Each message may bring an answer, and answers are kept until they are acknowledged: a device that asks on
+  // and acknowledges nothing would fill its replay window without end.
   if (session.channel.unacknowledged() > kUnreadPerAsk * settings_.asks_most)
     return turn_away(conn, "unread", "answers are left unacknowledged", true, out);
   switch (session.channel.heard(frame.seq)) {
@@ -454,7 +459,8 @@
   // The edge bounds messages, never queries by its own judgement: who has so many open waits for some to end.
   Outcome outcome;
   const auto look = ledger_.look(key, digest(body), must_not_repeat, body.first, outcome);
-  if (look != LedgerLogic::Answer::kOther && look != LedgerLogic::Answer::kSame && session.asks_for(body.key)) {
+  if (look != LedgerLogic::Answer::kOther && look != LedgerLogic::Answer::kSame &&
+      session.asks_for(body.key)) {
     ++counts_.repeats;
     return;  // its answer is on the way, in this session
   }
@@ -537,7 +543,8 @@
       }
       return;
     }
-    if (ledger_.dispatched(record.key)) out.push_back(Submit{id, record.key.tenant, std::exchange(ask.body, {})});
+    if (ledger_.dispatched(record.key))
+      out.push_back(Submit{id, record.key.tenant, std::exchange(ask.body, {})});
   } else if (record.fate == Fate::kAnswered) {
     const SessionId whose = asks_.at(id).session;
     const Outcome* outcome = ledger_.told(record.key, durable);
@@ -802,14 +809,15 @@
 bool EdgeLogic::settled() const {
   if (!asks_.empty()) return false;
   for (const auto& [_, session] : sessions_) {
-    if (session.conn != 0 && (session.channel.unacknowledged() > 0 || !session.deliveries.empty())) return false;
+    if (session.conn != 0 && (session.channel.unacknowledged() > 0 || !session.deliveries.empty()))
+      return false;
   }
   return true;
 }
 
 std::size_t EdgeLogic::live() const {
-  return static_cast<std::size_t>(
-      std::count_if(sessions_.begin(), sessions_.end(), [](const auto& entry) { return entry.second.conn != 0; }));
+  return static_cast<std::size_t>(std::count_if(sessions_.begin(), sessions_.end(),
+                                                [](const auto& entry) { return entry.second.conn != 0; }));
 }
 
 }  // namespace steprail::edge
--- a/src/edge/logic/edge_logic.h
+++ b/src/edge/logic/edge_logic.h
@@ -1,8 +1,8 @@
-// What the edge decides: sessions that outlive their connections, who comes in, what is sent on which link and
-// when, and what a request that was sent before is answered.
+// What the edge decides: sessions that outlive their connections, who comes in, what is sent on which link
+// and when, and what a request that was sent before is answered.
 //
-// No I/O, no clock, no randomness but a seed: events in, actions out, in order. Every front speaks to this one
-// object, so that a device may move between them within a session.
+// No I/O, no clock, no randomness but a seed: events in, actions out, in order. Every front speaks to this
+// one object, so that a device may move between them within a session.
 #pragma once
 
 #include <algorithm>
@@ -39,8 +39,8 @@
   Micros heartbeat_least{2'000'000}, heartbeat_most{30'000'000};
   double suspicion{8};
   std::size_t sessions_most{20'000}, sessions_tenant{20'000}, sessions_device{4};
-  std::size_t asks_most{32};       // of a session, open at a time
-  std::uint32_t window{128 << 10}; // bytes of rows on the way to a device
+  std::size_t asks_most{32};        // of a session, open at a time
+  std::uint32_t window{128 << 10};  // bytes of rows on the way to a device
   std::uint32_t page_least{4 << 10}, page_most{64 << 10};
   spool::Marks memory{32u << 20, 0.9, 0.7, 0.5};  // rows on their way, of all devices
   GateSettings gate;
@@ -86,7 +86,8 @@
 
 class EdgeLogic {
  public:
-  // `incarnations` as LedgerLogic takes them; `first` is the number of the first message of a session, either way.
+  // `incarnations` as LedgerLogic takes them; `first` is the number of the first message of a session, either
+  // way.
   EdgeLogic(EdgeSettings settings, Sealer sealer, std::vector<std::uint64_t> incarnations, std::uint64_t seed,
             Micros now, std::int64_t now_unix_us, Seq first = 1);
 
@@ -130,8 +131,8 @@
  private:
   struct Out {
     Body body;
-    RequestId request{};        // rows: of which result
-    std::uint32_t bytes{0};     // rows: text once it is known; it is fetched again to be sent again
+    RequestId request{};     // rows: of which result
+    std::uint32_t bytes{0};  // rows: text once it is known; it is fetched again to be sent again
     std::uint32_t charged{0};
     bool known{false};
     Micros sent{0};
@@ -145,7 +146,7 @@
     SessionId id{};
     int tenant{};
     const std::string* device{};  // where by_device_ has it
-    ConnId conn{0};  // 0: detached
+    ConnId conn{0};               // 0: detached
     bool room{false};
     Channel<Out> channel;
     RoundTrip trip;
@@ -163,11 +164,10 @@
     Micros heard{0}, ping_sent{0}, expires{0};
     std::uint64_t ping{0};
     TimingWheel::Timer timer{TimingWheel::kNone};
-    explicit Session(Seq first, const EdgeSettings& s)
-        : channel(first), page(s.page_least, s.page_most) {}
+    explicit Session(Seq first, const EdgeSettings& s) : channel(first), page(s.page_least, s.page_most) {}
   };
   struct Conn {
-    SessionId session{0};  // 0: it has not said who it is, or waits to come in
+    SessionId session{0};          // 0: it has not said who it is, or waits to come in
     std::unique_ptr<Frame> hello;  // while it waits: a frame is large, and an idle session has none
     TimingWheel::Timer timer{TimingWheel::kNone};
   };
@@ -181,7 +181,8 @@
   void admit(Micros now, std::vector<Act>& out);
   void come_in(ConnId conn, Micros now, std::vector<Act>& out);
   Session* begin(const Frame& hello, int tenant, Micros now, std::vector<Act>& out, std::string& why);
-  void attach(Session& session, ConnId conn, const Frame& hello, bool resumed, Micros now, std::vector<Act>& out);
+  void attach(Session& session, ConnId conn, const Frame& hello, bool resumed, Micros now,
+              std::vector<Act>& out);
   void detach(Session& session, Micros now);
   void expire(Session& session, std::vector<Act>& out);
   void turn_away(ConnId conn, const char* code, const char* text, bool again, std::vector<Act>& out);
--- a/src/edge/logic/frame.h
+++ b/src/edge/logic/frame.h
@@ -32,9 +32,20 @@
 };
 
 struct Frame {
-  enum class Type : std::uint8_t { kHello, kWelcome, kMessage, kAck, kPing, kPong, kLater, kMoved, kError, kBye } type{};
-  Seq seq{}, have{};       // kMessage: its number; what the sender has: everything before
-  Body body;               // kMessage
+  enum class Type : std::uint8_t {
+    kHello,
+    kWelcome,
+    kMessage,
+    kAck,
+    kPing,
+    kPong,
+    kLater,
+    kMoved,
+    kError,
+    kBye
+  } type{};
+  Seq seq{}, have{};                  // kMessage: its number; what the sender has: everything before
+  Body body;                          // kMessage
   std::string tenant, device, token;  // kHello; kWelcome: token
   std::int64_t deadline_ms{};         // kHello: how long its most urgent request has left
   std::uint64_t incarnation{};        // kWelcome
--- a/src/edge/logic/gate.h
+++ b/src/edge/logic/gate.h
@@ -1,13 +1,13 @@
-// Who comes in when many come at once: a set rate (GCRA), and a waiting room in the order of deadlines. Those for
-// whom there is no room are told when to come back, spread out so that they do not all come at once again.
+// Who comes in when many come at once: a set rate (GCRA), and a waiting room in the order of deadlines. Those
+// for whom there is no room are told when to come back, spread out so that they do not all come at once
+// again.
 #pragma once
 
-#include <pcg_random.hpp>
-
 #include <chrono>
 #include <cstdint>
 #include <map>
 #include <optional>
+#include <pcg_random.hpp>
 #include <unordered_map>
 #include <vector>
 
@@ -16,7 +16,7 @@
 using Micros = std::chrono::microseconds;
 
 struct GateSettings {
-  double rate{500};           // a second
+  double rate{500};  // a second
   double burst{100};
   std::size_t waiting_most{1000};
   Micros wait_most{3'000'000};  // in the waiting room
@@ -32,7 +32,8 @@
     std::uint64_t who{};
     Micros later{0};
   };
-  // One more who would come in; the nearer the deadline, the sooner. `turned` are those for whom there is no room.
+  // One more who would come in; the nearer the deadline, the sooner. `turned` are those for whom there is no
+  // room.
   void arrive(std::uint64_t who, Micros deadline, Micros now, std::vector<Turned>& turned) {
     const auto at = waiting_.emplace(deadline, Waiting{who, now});
     places_[who] = at;
--- a/src/edge/logic/ledger_logic.h
+++ b/src/edge/logic/ledger_logic.h
@@ -1,9 +1,10 @@
 // The outcome ledger: what has become of a request that a device may send again.
 //
-// One entry a (tenant, device, key). A `load` is entered durably before it is dispatched and its outcome durably
-// before it is told, so that after any crash one of three things is known: it was never dispatched (it may run),
-// its outcome, or that nobody knows (and nobody will: 'unknown' is final as well). No I/O: what has to be written
-// comes out as records, and the ledger is told when they are on the disk, or that they never will be.
+// One entry a (tenant, device, key). A `load` is entered durably before it is dispatched and its outcome
+// durably before it is told, so that after any crash one of three things is known: it was never dispatched
+// (it may run), its outcome, or that nobody knows (and nobody will: 'unknown' is final as well). No I/O: what
+// has to be written comes out as records, and the ledger is told when they are on the disk, or that they
+// never will be.
 #pragma once
 
 #include <chrono>
@@ -42,15 +43,15 @@
 // What a device is told in the end.
 struct Outcome {
   enum class How : std::uint8_t { kServed, kRefused, kFailed, kUnknown } how{How::kFailed};
-  bool again{false};           // sending it anew, under a new key, is harmless
-  Micros later{0};             // refused: when
-  std::uint64_t request{};     // served: the spool's result
+  bool again{false};        // sending it anew, under a new key, is harmless
+  Micros later{0};          // refused: when
+  std::uint64_t request{};  // served: the spool's result
   std::uint64_t rows{}, bytes{};
   bool operator==(const Outcome&) const = default;
 };
 
-// What goes to the disk: one value a key, the newest one counts. A mark says below which number a device's keys are
-// too old to be known.
+// What goes to the disk: one value a key, the newest one counts. A mark says below which number a device's
+// keys are too old to be known.
 struct Record {
   Key key;
   Fate fate{};
@@ -72,19 +73,20 @@
 class LedgerLogic {
  public:
   // `incarnations`: those of this home whose records are all here; the last one is this process's.
-  LedgerLogic(LedgerSettings settings, std::vector<std::uint64_t> incarnations, Micros now, std::int64_t now_unix_us);
+  LedgerLogic(LedgerSettings settings, std::vector<std::uint64_t> incarnations, Micros now,
+              std::int64_t now_unix_us);
 
-  // At the start, in any order: what the store holds. What was dispatched and has no outcome becomes unknown, and
-  // the records that say so come out.
+  // At the start, in any order: what the store holds. What was dispatched and has no outcome becomes unknown,
+  // and the records that say so come out.
   void recover(const Record& record, std::vector<Record>& out);
 
   enum class Answer {
-    kRun,          // enter it: record it if it must not run twice, then dispatch
-    kSame,         // it is under way
-    kOutcome,      // here is what has become of it
-    kOther,        // the key was another statement's
-    kTooOld,       // the key's entry may have lived and gone
-    kFull          // no room for another entry
+    kRun,      // enter it: record it if it must not run twice, then dispatch
+    kSame,     // it is under way
+    kOutcome,  // here is what has become of it
+    kOther,    // the key was another statement's
+    kTooOld,   // the key's entry may have lived and gone
+    kFull      // no room for another entry
   };
   // `first`: the incarnation under which the device first sent it. `once`: it must not run twice.
   Answer look(const Key& key, std::uint64_t digest, bool once, std::uint64_t first, Outcome& outcome);
@@ -92,8 +94,8 @@
   bool take(const Key& key, std::uint64_t digest, bool once, std::uint64_t request, std::vector<Record>& out);
   // That record is on the disk: dispatch it now. False where the entry has ended meanwhile.
   bool dispatched(const Key& key);
-  // It will never be on the disk: the request was not dispatched and is not. `outcome` is what is told of it, to all
-  // who ask while this process lives: one that crosses it must not be run after all.
+  // It will never be on the disk: the request was not dispatched and is not. `outcome` is what is told of it,
+  // to all who ask while this process lives: one that crosses it must not be run after all.
   void not_recorded(const Key& key, const Outcome& outcome);
   // The request's answer. True where it must be durable before it is told.
   bool answered(const Key& key, const Outcome& outcome, std::vector<Record>& out);
--- a/src/edge/logic/link_estimate.h
+++ b/src/edge/logic/link_estimate.h
@@ -1,5 +1,5 @@
-// What is known of one link: its round trip (RFC 6298), whether the other side still lives (a suspicion that grows
-// with silence, after Hayashibara's phi accrual detector), and how much to send at a time.
+// What is known of one link: its round trip (RFC 6298), whether the other side still lives (a suspicion that
+// grows with silence, after Hayashibara's phi accrual detector), and how much to send at a time.
 #pragma once
 
 #include <algorithm>
@@ -30,8 +30,9 @@
   Micros timeout() const {
     if (srtt_.count() == 0) return kFirst;
     const Micros base = srtt_ + std::max(kGranularity, 4 * var_);
-    return std::clamp(base, kLeast, kMost) * (1 << backoff_) > kMost ? kMost
-                                                                     : std::clamp(base, kLeast, kMost) * (1 << backoff_);
+    return std::clamp(base, kLeast, kMost) * (1 << backoff_) > kMost
+               ? kMost
+               : std::clamp(base, kLeast, kMost) * (1 << backoff_);
   }
 
  private:
@@ -61,7 +62,8 @@
     const double spread = std::max(deviation_, mean_ / 8 + 50'000);
     const double y = (static_cast<double>((now - last_).count()) - mean_) / spread;
     // The logistic approximation to the normal tail.
-    const double e = std::exp(-std::min(y, 40.0) * (1.5976 + 0.070566 * std::min(y, 40.0) * std::min(y, 40.0)));
+    const double e =
+        std::exp(-std::min(y, 40.0) * (1.5976 + 0.070566 * std::min(y, 40.0) * std::min(y, 40.0)));
     const double tail = y > 0 ? e / (1 + e) : 1 - 1 / (1 + e);
     return -std::log10(std::max(tail, 1e-300));
   }
@@ -82,8 +84,8 @@
   Micros last_{0};
 };
 
-// Bytes of rows a message: what the link carries in a quarter of a second, so that a cut costs little and a slow
-// link still sees its acknowledgements come.
+// Bytes of rows a message: what the link carries in a quarter of a second, so that a cut costs little and a
+// slow link still sees its acknowledgements come.
 class PageSize {
  public:
   PageSize(std::uint32_t least, std::uint32_t most) : least_(least), most_(most), bytes_(least) {}
@@ -91,7 +93,8 @@
     if (in.count() <= 0) return;
     const double rate = static_cast<double>(bytes) / static_cast<double>(in.count());
     rate_ = rate_ == 0 ? rate : rate_ + 0.25 * (rate - rate_);
-    bytes_ = static_cast<std::uint32_t>(std::clamp(rate_ * 250'000, static_cast<double>(least_), static_cast<double>(most_)));
+    bytes_ = static_cast<std::uint32_t>(
+        std::clamp(rate_ * 250'000, static_cast<double>(least_), static_cast<double>(most_)));
   }
   void cut() { bytes_ = std::max(least_, bytes_ / 2), rate_ /= 2; }
   std::uint32_t bytes() const { return bytes_; }
--- a/src/edge/logic/poll_links.h
+++ b/src/edge/logic/poll_links.h
@@ -1,6 +1,7 @@
-// Which long-poll links are kept. A link has no connection whose end would be heard of, so that it goes by rules:
-// the number of links is bounded, and where all places are taken one gives way to a newcomer: one that has ended
-// first, then the one heard of longest ago. One whose poll waits here is in use and gives way to nobody.
+// Which long-poll links are kept. A link has no connection whose end would be heard of, so that it goes by
+// rules: the number of links is bounded, and where all places are taken one gives way to a newcomer: one that
+// has ended first, then the one heard of longest ago. One whose poll waits here is in use and gives way to
+// nobody.
 #pragma once
 
 #include <chrono>
@@ -45,7 +46,8 @@
   Room room(std::size_t most) const {
     Room room;
     std::size_t size = states_.size();
-    for (auto at = idle_.begin(); size >= most && at != idle_.end(); ++at, --size) room.gives_way.push_back(at->name);
+    for (auto at = idle_.begin(); size >= most && at != idle_.end(); ++at, --size)
+      room.gives_way.push_back(at->name);
     room.is = size < most;
     if (!room.is) room.gives_way.clear();
     return room;
--- a/src/edge/logic/token.h
+++ b/src/edge/logic/token.h
@@ -1,4 +1,5 @@
-// The session token: what a device shows to go on with its session, sealed so that nobody can make or change one.
+// The session token: what a device shows to go on with its session, sealed so that nobody can make or change
+// one.
 #pragma once
 
 #include <array>
@@ -10,8 +11,8 @@
 namespace steprail::edge {
 
 struct Token {
-  std::string home;            // the coordinator where the session lives
-  std::uint64_t incarnation{}; // of that process
+  std::string home;             // the coordinator where the session lives
+  std::uint64_t incarnation{};  // of that process
   std::uint64_t session{};
   int tenant{};
   std::string device;
--- a/src/edge/settings.h
+++ b/src/edge/settings.h
@@ -13,8 +13,8 @@
 struct EdgeConf {
   bool on{false};
   std::string listen;
-  std::string secret_file;   // empty: a secret of this process's own
-  std::string ledger_folder; // empty: the ledger is in memory
+  std::string secret_file;    // empty: a secret of this process's own
+  std::string ledger_folder;  // empty: the ledger is in memory
   std::uint64_t ledger_most{256u << 20};
   Micros poll_wait{25'000'000};
   std::size_t connections{256};
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -24,7 +24,8 @@
   CLI::App* help = app.add_subcommand("help-config", "print what may stand in the operator's file");
   help->add_option("word", word, "one block or directive");
   commands::ExplainOptions asked;
-  CLI::App* explain = with_config(app.add_subcommand("explain", "print the route that a request takes, and why"));
+  CLI::App* explain =
+      with_config(app.add_subcommand("explain", "print the route that a request takes, and why"));
   explain->add_option("--class", asked.cls, "its class")->required();
   explain->add_option("--tenant", asked.tenant, "its tenant");
   explain->add_option("--front", asked.front, "platform, spool or edge")->capture_default_str();
@@ -33,7 +34,8 @@
   explain->add_option("--work", asked.work_ms, "its estimated work, ms");
   explain->add_option("--memory", asked.memory_mb, "its estimated memory, MB");
   std::string traffic;
-  CLI::App* plan = with_config(app.add_subcommand("plan", "print routes for stated traffic, with what each line brings"));
+  CLI::App* plan =
+      with_config(app.add_subcommand("plan", "print routes for stated traffic, with what each line brings"));
   plan->add_option("--traffic", traffic, "what comes: rates, times and losses, by class")->required();
   CLI::App* version = app.add_subcommand("version", "print the version");
   CLI11_PARSE(app, argc, argv);
--- a/src/net/directory.cpp
+++ b/src/net/directory.cpp
@@ -15,11 +15,13 @@
 // two lines missed are enough to ask again.
 constexpr std::chrono::milliseconds kSilenceMost{2200};
 constexpr std::chrono::milliseconds kConnectMost{1000};
-// Between connections. With the silence and one connect that fails it stays within what a change may be late by.
+// Between connections. With the silence and one connect that fails it stays within what a change may be late
+// by.
 constexpr std::chrono::milliseconds kPause{200}, kPauseMost{800};
 constexpr std::size_t kLongestLine = 4 << 20;
 constexpr std::size_t kLeftOutLines = 8;  // in the log, of one event
-// A line cut or garbled on its way comes whole when it is asked for again; one that never does is passed over.
+// A line cut or garbled on its way comes whole when it is asked for again; one that never does is passed
+// over.
 constexpr int kBadMost = 3;
 
 const std::map<std::string, Standing> kStates = {
@@ -131,7 +133,8 @@
         again(std::string("bad line: ") + fault.what());
         return false;
       }
-      log_.line("line of the directory passed over behind event " + std::to_string(last_) + ": " + fault.what());
+      log_.line("line of the directory passed over behind event " + std::to_string(last_) + ": " +
+                fault.what());
     }
     in_.consume(end + 1);
   }
@@ -176,7 +179,8 @@
     read.entry.weight = optional_field(row, "weight", 1.0);
     read.entry.came_up = Micros{optional_field<std::int64_t>(row, "since_ms", 0) * 1000};
     read.change.address = row.at("address");
-    if (!parse_address(read.change.address)) throw std::runtime_error("no address: '" + read.change.address + "'");
+    if (!parse_address(read.change.address))
+      throw std::runtime_error("no address: '" + read.change.address + "'");
   }
   // Last: a row that is left out takes no number.
   read.entry.engine = tables_.engines.add(name);
@@ -197,7 +201,8 @@
   });
 }
 
-// All of an event is read before any of it is used. A row that cannot be understood is left out, and the others hold.
+// All of an event is read before any of it is used. A row that cannot be understood is left out, and the
+// others hold.
 void Directory::apply(const json& event, bool first) {
   forget_gone();
   const auto index = event.at("index").get<std::int64_t>();
@@ -213,8 +218,8 @@
       named.insert(read.entry.engine);
       Row& known = rows_[read.entry.engine];
       const EngineChange& was = known.change;
-      if (was.name != read.change.name || was.address != read.change.address || was.standing != read.change.standing ||
-          was.came_up != read.change.came_up)
+      if (was.name != read.change.name || was.address != read.change.address ||
+          was.standing != read.change.standing || was.came_up != read.change.came_up)
         log_.line("engine " + std::to_string(read.entry.engine) + " is " + read.change.name + " at " +
                   read.change.address + ", " + row.at("status").get<std::string>());
       known = read;
@@ -226,8 +231,8 @@
     }
   }
   if (left_out > kLeftOutLines)
-    log_.line("rows of event " + std::to_string(index) + " left out besides: " +
-              std::to_string(left_out - kLeftOutLines));
+    log_.line("rows of event " + std::to_string(index) +
+              " left out besides: " + std::to_string(left_out - kLeftOutLines));
   // What a whole list does not hold is gone.
   for (const auto& [name, engine] : tables_.engines.known()) {
     if (!whole || named.contains(engine)) continue;
--- a/src/net/engine_pool.cpp
+++ b/src/net/engine_pool.cpp
@@ -523,8 +523,8 @@
 }
 
 // A busy engine may take more than its part, as long as that leaves each of the others one. When all are
-// taken and the engine has none that can be used, the connection that has been idle for longest goes: where there are
-// more engines than connections, that may be another engine's only one.
+// taken and the engine has none that can be used, the connection that has been idle for longest goes: where
+// there are more engines than connections, that may be another engine's only one.
 bool EnginePool::room_for(int index, bool needed) {
   const auto number = static_cast<std::size_t>(index);
   std::size_t owed = 0;
--- a/src/net/framed.h
+++ b/src/net/framed.h
@@ -1,5 +1,5 @@
-// Thrift's framed connections, whatever service is spoken on them: listening, whole frames in, gathered writes
-// out, and the bounds on how long and how much a client may keep.
+// Thrift's framed connections, whatever service is spoken on them: listening, whole frames in, gathered
+// writes out, and the bounds on how long and how much a client may keep.
 #pragma once
 
 #include <boost/asio/coroutine.hpp>
--- a/src/net/front.cpp
+++ b/src/net/front.cpp
@@ -85,9 +85,7 @@
 
 ThriftFront::ThriftFront(Strand strand, Coordinator& coordinator, EventLog& log, const Tables& tables,
                          Limits limits)
-    : FramedServer(strand, coordinator, log, limits),
-      tables_(tables),
-      number_(coordinator.attach(*this)) {}
+    : FramedServer(strand, coordinator, log, limits), tables_(tables), number_(coordinator.attach(*this)) {}
 
 std::shared_ptr<FramedServer::Session> ThriftFront::open(tcp::socket socket, std::uint64_t number) {
   return std::make_shared<Client>(*this, std::move(socket), number);
--- a/src/net/query_fields.h
+++ b/src/net/query_fields.h
@@ -7,7 +7,8 @@
 
 namespace steprail {
 
-// Fills the query in, its ticket and statement excepted. Null if it can be used, else the name of what cannot.
+// Fills the query in, its ticket and statement excepted. Null if it can be used, else the name of what
+// cannot.
 const char* read_query(const thrift::Fields& fields, const Tables& tables, Coordinator& coordinator,
                        Query& query);
 
--- a/src/net/thrift.h
+++ b/src/net/thrift.h
@@ -62,8 +62,8 @@
 bool read_execute(Reader& reader, Fields& fields, std::string_view& body);
 bool read_interrupt(Reader& reader, std::int32_t& call);
 
-// A served answer's frame is this head, the body's bytes, and this tail; the head counts the tail in, with its
-// fields.
+// A served answer's frame is this head, the body's bytes, and this tail; the head counts the tail in, with
+// its fields.
 std::string served_head(std::int32_t call, std::string_view method, std::size_t body_bytes,
                         const Texts& fields = {});
 std::string served_tail(bool good, const Texts& fields = {});
--- a/src/operator.cpp
+++ b/src/operator.cpp
@@ -1,11 +1,11 @@
 #include "operator.h"
 
-#include "routes/checked.h"
-
 #include <fstream>
 #include <sstream>
 #include <stdexcept>
 
+#include "routes/checked.h"
+
 namespace steprail {
 
 using Given = conf::Directive::Given;
--- a/src/operator.h
+++ b/src/operator.h
@@ -21,7 +21,8 @@
   conf::Document document;  // as it was read, to show faults that are found later in their place
 };
 
-// The routes, resolved and checked against the platform's settings. Throws std::runtime_error with all faults.
+// The routes, resolved and checked against the platform's settings. Throws std::runtime_error with all
+// faults.
 routes::RouteSet routes_of(const OperatorConf& conf, const Settings& settings, const Tables& tables);
 
 // Registers every part's block; a document that is applied fills `into` in.
--- a/src/routes/check/check.cpp
+++ b/src/routes/check/check.cpp
@@ -77,7 +77,8 @@
     Match own = set_.routes[route].match;
     own.cls = cls;
     return std::any_of(set_.routes.begin(), set_.routes.end(), [&](const Route& other) {
-      return &other != &set_.routes[route] && own.within(other.match) && other.match.within(set_.routes[route].match);
+      return &other != &set_.routes[route] && own.within(other.match) &&
+             other.match.within(set_.routes[route].match);
     });
   }
   int most_tries(std::size_t route) const {
@@ -88,7 +89,8 @@
     return all.empty() ? of(cls).hard_limit : all[std::min(attempt, all.size() - 1)];
   }
 
-  // A second attempt of what must not run twice. The module would not make it; a file that asks for it is wrong.
+  // A second attempt of what must not run twice. The module would not make it; a file that asks for it is
+  // wrong.
   void second_run(std::size_t r, int cls) {
     if (of(cls).effect != Effect::kOnce || terms(r).attempts < 2) return;
     z3::context& z = z_;
@@ -96,7 +98,8 @@
     const z3::expr attempts = z.int_const("attempts"), first_ran = z.bool_const("first_ran");
     holds.push_back(attempts >= 1 && attempts <= terms(r).attempts && attempts >= 2 && first_ran);
     if (!possible(holds)) return;
-    Finding finding{or_else(conf_.routes[r].attempts_line, set_.routes[r].line), Finding::Rule::kSecondRun, "", cls, {}};
+    Finding finding{
+        or_else(conf_.routes[r].attempts_line, set_.routes[r].line), Finding::Rule::kSecondRun, "", cls, {}};
     const Micros out = patience(r, 0, cls);
     finding.attempts = {{Micros{0}, out}, {out + terms(r).pause, out + terms(r).pause + patience(r, 1, cls)}};
     finding.text = name(cls) + " may be tried " + std::to_string(terms(r).attempts) +
@@ -116,7 +119,8 @@
     solver.minimize(ends);
     if (solver.check() != z3::sat) return;
     const Micros at{whole(solver.get_model(), copy)}, until = patience(r, 0, cls);
-    Finding finding{or_else(conf_.routes[r].copy_line, set_.routes[r].line), Finding::Rule::kTwoOut, "", cls, {}};
+    Finding finding{
+        or_else(conf_.routes[r].copy_line, set_.routes[r].line), Finding::Rule::kTwoOut, "", cls, {}};
     finding.attempts = {{Micros{0}, until}, {at, until}};
     finding.text = name(cls) + " may have two attempts out at once: a copy leaves after " +
                    seconds(static_cast<double>(at.count())) + ", and the first attempt may be out for " +
@@ -141,17 +145,20 @@
       out.push_back(z.real_const(("out" + std::to_string(i)).c_str()));
       pause.push_back(z.real_const(("pause" + std::to_string(i)).c_str()));
       // Where the file leaves the patience to the module it is bound by the time that is left.
-      const std::int64_t longest = terms(r).patience.empty() ? 0 : patience(r, static_cast<std::size_t>(i), cls).count();
+      const std::int64_t longest =
+          terms(r).patience.empty() ? 0 : patience(r, static_cast<std::size_t>(i), cls).count();
       holds.push_back(out.back() >= 0 && out.back() <= z.real_val(longest));
       holds.push_back(pause.back() >= z.real_val(low) && pause.back() <= z.real_val(high));
       used = used + z3::ite(attempts > i, out.back(), z.real_val(0));
       if (i > 0) used = used + z3::ite(attempts > i, pause.back(), z.real_val(0));
     }
     holds.push_back(used > z.real_val(static_cast<std::int64_t>(of(cls).hard_limit.count())));
-    // Whether there is such a history is quickly said; to look for the shortest one takes longer, and is rarely needed.
+    // Whether there is such a history is quickly said; to look for the shortest one takes longer, and is
+    // rarely needed.
     if (!possible(holds)) return;
-    // The fewest attempts first, and of those histories the longest: that is what the operator has to bring down.
-    // One question after the other: asked both at once the solver may stop short of the second one's best.
+    // The fewest attempts first, and of those histories the longest: that is what the operator has to bring
+    // down. One question after the other: asked both at once the solver may stop short of the second one's
+    // best.
     z3::optimize fewest(z), solver(z);
     fewest.add(holds);
     fewest.minimize(attempts);
@@ -162,8 +169,12 @@
     if (solver.check() != z3::sat) return;
     const z3::model model = solver.get_model();
     const auto n = static_cast<std::size_t>(whole(model, attempts));
-    Finding finding{or_else(conf_.routes[r].patience_line, or_else(conf_.routes[r].pause_line, set_.routes[r].line)),
-                    Finding::Rule::kBeyondLimit, "", cls, {}};
+    Finding finding{
+        or_else(conf_.routes[r].patience_line, or_else(conf_.routes[r].pause_line, set_.routes[r].line)),
+        Finding::Rule::kBeyondLimit,
+        "",
+        cls,
+        {}};
     Micros at{0};
     std::int64_t pauses = 0;
     bool equal = true;
@@ -182,7 +193,8 @@
     if (equal && n > 1) {
       sum = std::to_string(n) + " x " + seconds(static_cast<double>(whole(model, out[0])));
     } else {
-      for (std::size_t i = 0; i < n; ++i) sum += (i ? " + " : "") + seconds(static_cast<double>(whole(model, out[i])));
+      for (std::size_t i = 0; i < n; ++i)
+        sum += (i ? " + " : "") + seconds(static_cast<double>(whole(model, out[i])));
     }
     if (pauses > 0) sum += " + " + seconds(static_cast<double>(pauses));
     if (n > 1) sum += " = " + seconds(static_cast<double>(at.count()));
@@ -211,7 +223,8 @@
     among(zone, of(cls).zones, s_.zone_count);
     among(kind, of(cls).kinds, static_cast<int>(s_.kinds.size()));
     if (possible(holds)) return;
-    found_.push_back({or_else(conf_.routes[r].pool_line, set_.routes[r].line), Finding::Rule::kEmptyPool,
+    found_.push_back({or_else(conf_.routes[r].pool_line, set_.routes[r].line),
+                      Finding::Rule::kEmptyPool,
                       "no engine can ever serve " + name(cls) + " in pool '" + pool->name +
                           "': where the pool's engines are, the class may not go",
                       cls,
@@ -226,7 +239,8 @@
       if (pool.slow_start.count() == 0) continue;
       z3::context& z = z_;
       z3::optimize solver(z);
-      const z3::expr age = z.real_const("age"), time = real(z, static_cast<double>(pool.slow_start.count()) / 1e6);
+      const z3::expr age = z.real_const("age"),
+                     time = real(z, static_cast<double>(pool.slow_start.count()) / 1e6);
       const z3::expr cold = real(z, static_cast<double>(s_.cold_for.count()) / 1e6);
       const z3::expr from = real(z, pool.slow_from);
       solver.add(age >= 0 && age < cold);
@@ -234,17 +248,20 @@
       solver.add(share > real(z, s_.cold_from * std::max(1.0, s_.overload_factor)));
       solver.minimize(age);
       if (solver.check() != z3::sat) continue;
-      found_.push_back({or_else(conf_.pools[p].start_line, pool.line), Finding::Rule::kColdStart,
-                        "pool '" + pool.name + "' starts from " + percent(pool.slow_from) + " and is full after " +
-                            seconds(static_cast<double>(pool.slow_start.count())) +
-                            "; its engines are cold for " + seconds(static_cast<double>(s_.cold_for.count())) +
-                            " and can do " + percent(s_.cold_from) + " then",
+      found_.push_back({or_else(conf_.pools[p].start_line, pool.line),
+                        Finding::Rule::kColdStart,
+                        "pool '" + pool.name + "' starts from " + percent(pool.slow_from) +
+                            " and is full after " + seconds(static_cast<double>(pool.slow_start.count())) +
+                            "; its engines are cold for " +
+                            seconds(static_cast<double>(s_.cold_for.count())) + " and can do " +
+                            percent(s_.cold_from) + " then",
                         -1,
                         {}});
     }
   }
 
-  // Any mix of traffic over the routes: together they may not make more further attempts than the rule allows.
+  // Any mix of traffic over the routes: together they may not make more further attempts than the rule
+  // allows.
   void rations() {
     if (!s_.extra_ratio) return;
     z3::context& z = z_;
@@ -264,7 +281,8 @@
     const z3::model model = solver.get_model();
     for (std::size_t r = 0; r < parts.size(); ++r) {
       if (!z3::eq(model.eval(parts[r] > 0, true).simplify(), z.bool_val(true)) || !terms(r).ration) continue;
-      found_.push_back({or_else(conf_.routes[r].ration_line, set_.routes[r].line), Finding::Rule::kRation,
+      found_.push_back({or_else(conf_.routes[r].ration_line, set_.routes[r].line),
+                        Finding::Rule::kRation,
                         "route '" + set_.routes[r].name + "' may try again for " + percent(*terms(r).ration) +
                             " of its requests, the rule allows " + percent(*s_.extra_ratio) +
                             ": broken where all requests take this route",
@@ -293,7 +311,8 @@
 
 }  // namespace
 
-std::vector<Finding> check(const RouteConf& conf, const RouteSet& set, const Settings& settings, const Tables& tables) {
+std::vector<Finding> check(const RouteConf& conf, const RouteSet& set, const Settings& settings,
+                           const Tables& tables) {
   return Checker(conf, set, settings, tables).run();
 }
 
--- a/src/routes/check/check.h
+++ b/src/routes/check/check.h
@@ -1,5 +1,5 @@
-// Whether routes could break a rule, over all histories that they allow: stated as constraints to a solver (Z3),
-// which finds the shortest history in which it happens.
+// Whether routes could break a rule, over all histories that they allow: stated as constraints to a solver
+// (Z3), which finds the shortest history in which it happens.
 #pragma once
 
 #include <string>
@@ -24,6 +24,7 @@
 };
 
 // `set` is what resolve() made of `conf` without a fault.
-std::vector<Finding> check(const RouteConf& conf, const RouteSet& set, const Settings& settings, const Tables& tables);
+std::vector<Finding> check(const RouteConf& conf, const RouteSet& set, const Settings& settings,
+                           const Tables& tables);
 
 }  // namespace steprail::routes
--- a/src/routes/logic/explain.cpp
+++ b/src/routes/logic/explain.cpp
@@ -18,7 +18,9 @@
                                                                       : std::to_string(index);
 }
 
-std::string within(const Range& range) { return "from " + number(range.least) + " and below " + number(range.most); }
+std::string within(const Range& range) {
+  return "from " + number(range.least) + " and below " + number(range.most);
+}
 
 // What keeps a route from matching; empty where it matches.
 std::string obstacle(const Match& m, const Facts& f, const Named& names) {
@@ -26,7 +28,8 @@
   if (m.tenant >= 0 && m.tenant != f.tenant) return "is for tenant " + name_of(names.tenants, m.tenant);
   if (m.group >= 0 && m.group != f.group) return "is for group " + std::to_string(m.group);
   if (m.front >= 0 && m.front != f.front) return "is for front " + name_of(names.fronts, m.front);
-  if (!m.work_ms.holds(f.work_ms)) return "is for work " + within(m.work_ms) + " ms, this is " + number(f.work_ms);
+  if (!m.work_ms.holds(f.work_ms))
+    return "is for work " + within(m.work_ms) + " ms, this is " + number(f.work_ms);
   if (!m.memory_mb.holds(f.memory_mb))
     return "is for memory " + within(m.memory_mb) + " MB, this is " + number(f.memory_mb);
   return {};
@@ -41,19 +44,25 @@
                   seconds(terms.patience[i]));
   }
   if (terms.pause.count() > 0)
-    out.push_back("pause before a further attempt: " + seconds(terms.pause) + ", give or take " + number(terms.jitter * 100) + "%");
+    out.push_back("pause before a further attempt: " + seconds(terms.pause) + ", give or take " +
+                  number(terms.jitter * 100) + "%");
   if (terms.move_after.count() > 0) out.push_back("leaves its engine after " + seconds(terms.move_after));
   if (terms.ration)
-    out.push_back("further attempts: " + number(*terms.ration * 100) + "% of first ones, " + number(terms.ration_burst) + " ahead");
+    out.push_back("further attempts: " + number(*terms.ration * 100) + "% of first ones, " +
+                  number(terms.ration_burst) + " ahead");
   if (terms.limit_most > 0)
     out.push_back("open at a time: from " + std::to_string(terms.limit_least) + ", following delay, up to " +
                   std::to_string(terms.limit_most));
-  if (terms.rate > 0) out.push_back("rate: " + number(terms.rate) + " a second, " + number(terms.rate_burst) + " at once");
-  if (terms.memory_mb > 0) out.push_back("memory of an attempt: " + number(terms.memory_mb) + " MB, where engines heed it");
-  if (terms.priority >= 0) out.push_back("priority: " + std::to_string(terms.priority) + ", where engines heed it");
+  if (terms.rate > 0)
+    out.push_back("rate: " + number(terms.rate) + " a second, " + number(terms.rate_burst) + " at once");
+  if (terms.memory_mb > 0)
+    out.push_back("memory of an attempt: " + number(terms.memory_mb) + " MB, where engines heed it");
+  if (terms.priority >= 0)
+    out.push_back("priority: " + std::to_string(terms.priority) + ", where engines heed it");
   for (const Pool& pool : set.pools) {
     if (pool.name == terms.pool)
-      out.push_back("engines: pool " + pool.name + " of line " + std::to_string(pool.line) + ", names like '" + pool.pattern + "'");
+      out.push_back("engines: pool " + pool.name + " of line " + std::to_string(pool.line) +
+                    ", names like '" + pool.pattern + "'");
   }
   return out;
 }
--- a/src/routes/logic/explain.h
+++ b/src/routes/logic/explain.h
@@ -15,10 +15,11 @@
 
 struct Explanation {
   std::optional<std::size_t> route;
-  // Of every route, in the file's order: it holds, it matches but another one is more specific, or the first thing
-  // that keeps it from matching.
+  // Of every route, in the file's order: it holds, it matches but another one is more specific, or the first
+  // thing that keeps it from matching.
   std::vector<std::string> why;
-  std::vector<std::string> figures;  // what holds for the request, one line each; what is absent is the module's own
+  std::vector<std::string>
+      figures;  // what holds for the request, one line each; what is absent is the module's own
 };
 
 Explanation explain(const RouteSet& set, const Facts& facts, const Named& names);
--- a/src/routes/logic/limits.h
+++ b/src/routes/logic/limits.h
@@ -1,5 +1,5 @@
-// What a route or a pool lets in: a concurrency limit that follows measured delay, a rate, fair shares of tenants,
-// and a slow start. Plain state in virtual time; each is one small machine of its own.
+// What a route or a pool lets in: a concurrency limit that follows measured delay, a rate, fair shares of
+// tenants, and a slow start. Plain state in virtual time; each is one small machine of its own.
 #pragma once
 
 #include <algorithm>
@@ -12,14 +12,15 @@
 
 using Micros = std::chrono::microseconds;
 
-// Additive increase, multiplicative decrease: one more for each round of requests that end in time, a tenth less for
-// a round that is slow against the quickest lately or ends badly. A gradient (limit x quickest / now) was weighed in
-// docs/design/routes.md: it moves with the noise of mixed work.
+// Additive increase, multiplicative decrease: one more for each round of requests that end in time, a tenth
+// less for a round that is slow against the quickest lately or ends badly. A gradient (limit x quickest /
+// now) was weighed in docs/design/routes.md: it moves with the noise of mixed work.
 class AdaptiveLimit {
  public:
   void set(int least, int most) {
     least_ = std::max(1, least), most_ = std::max(least_, most);
-    limit_ = limit_ == 0 ? least_ : std::clamp(limit_, static_cast<double>(least_), static_cast<double>(most_));
+    limit_ =
+        limit_ == 0 ? least_ : std::clamp(limit_, static_cast<double>(least_), static_cast<double>(most_));
   }
   bool room() const { return out_ < static_cast<int>(limit_); }
   void entered() {
@@ -53,7 +54,8 @@
   int out() const { return out_; }
 
  private:
-  static constexpr double kDecrease = 0.9, kTolerance = 3, kForget = 20e6;  // microseconds in which it doubles
+  static constexpr double kDecrease = 0.9, kTolerance = 3,
+                          kForget = 20e6;  // microseconds in which it doubles
   int least_{1}, most_{1}, out_{0}, pressed_{0};
   double limit_{0}, quickest_{0};
   Micros calm_until_{0}, seen_{0};
@@ -67,7 +69,8 @@
     if (rate_ <= 0) return true;
     const auto interval = static_cast<std::int64_t>(1e6 / rate_);
     const Micros theoretical = std::max(arrival_, now);
-    if ((theoretical - now).count() > static_cast<std::int64_t>((burst_ - 1) * static_cast<double>(interval))) return false;
+    if ((theoretical - now).count() > static_cast<std::int64_t>((burst_ - 1) * static_cast<double>(interval)))
+      return false;
     arrival_ = theoretical + Micros{interval};
     return true;
   }
@@ -77,10 +80,11 @@
   Micros arrival_{0};
 };
 
-// Places under one limit, shared between tenants: each may always have its share; what one does not want is for the
-// others. What a tenant wants is remembered for some seconds, so that one within its share finds its places free
-// although the others want them all. Stride scheduling was weighed in docs/design/routes.md: requests are never held
-// here, and without a queue it leaves places empty wherever the hindmost tenant wants few.
+// Places under one limit, shared between tenants: each may always have its share; what one does not want is
+// for the others. What a tenant wants is remembered for some seconds, so that one within its share finds its
+// places free although the others want them all. Stride scheduling was weighed in docs/design/routes.md:
+// requests are never held here, and without a queue it leaves places empty wherever the hindmost tenant wants
+// few.
 class FairShare {
  public:
   explicit FairShare(std::vector<double> weights = {1}) { set(std::move(weights)); }
@@ -89,7 +93,8 @@
     for (const double weight : weights) sum += std::max(weight, 0.0);
     tenants_.resize(std::max<std::size_t>(1, weights.size()));
     for (std::size_t t = 0; t < tenants_.size(); ++t)
-      tenants_[t].share = sum > 0 && t < weights.size() ? std::max(weights[t], 0.0) / sum : 1.0 / static_cast<double>(tenants_.size());
+      tenants_[t].share = sum > 0 && t < weights.size() ? std::max(weights[t], 0.0) / sum
+                                                        : 1.0 / static_cast<double>(tenants_.size());
   }
   // True where this tenant may have one of the places, of which there are so many.
   bool asks(std::size_t tenant, double places, Micros now) {
@@ -148,7 +153,8 @@
   }
   double share(Micros now) const {
     if (!starting_ || time_.count() <= 0 || now >= since_ + time_) return 1;
-    return from_ + (1 - from_) * static_cast<double>((now - since_).count()) / static_cast<double>(time_.count());
+    return from_ +
+           (1 - from_) * static_cast<double>((now - since_).count()) / static_cast<double>(time_.count());
   }
 
  private:
--- a/src/routes/logic/route.cpp
+++ b/src/routes/logic/route.cpp
@@ -97,7 +97,9 @@
       // All of these match, and the most specific one lies within all others.
       std::int32_t best = left.front();
       for (const std::int32_t route : left) {
-        if (routes[static_cast<std::size_t>(route)].match.within(routes[static_cast<std::size_t>(best)].match)) best = route;
+        if (routes[static_cast<std::size_t>(route)].match.within(
+                routes[static_cast<std::size_t>(best)].match))
+          best = route;
       }
       return -2 - best;
     }
@@ -123,10 +125,12 @@
     node.keys.erase(std::unique(node.keys.begin(), node.keys.end()), node.keys.end());
     for (const double key : node.keys) {
       node.children.push_back(child([&](std::int32_t route) {
-        return dimension < 4 ? any_or(value(route, dimension), static_cast<int>(key)) : range(route, dimension).holds(key);
+        return dimension < 4 ? any_or(value(route, dimension), static_cast<int>(key))
+                             : range(route, dimension).holds(key);
       }));
     }
-    if (dimension < 4) node.otherwise = child([&](std::int32_t route) { return value(route, dimension) < 0; });
+    if (dimension < 4)
+      node.otherwise = child([&](std::int32_t route) { return value(route, dimension) < 0; });
     // A step that decides nothing is left out.
     if (dimension < 4 && node.keys.empty()) return known[{dimension, left}] = node.otherwise;
     nodes_.push_back(std::move(node));
@@ -141,9 +145,12 @@
 }
 
 std::optional<std::size_t> RouteTree::match(const Facts& f) const {
-  const double values[kDimensions] = {static_cast<double>(f.cls),   static_cast<double>(f.tenant),
-                                      static_cast<double>(f.group), static_cast<double>(f.front),
-                                      f.work_ms,                    f.memory_mb};
+  const double values[kDimensions] = {static_cast<double>(f.cls),
+                                      static_cast<double>(f.tenant),
+                                      static_cast<double>(f.group),
+                                      static_cast<double>(f.front),
+                                      f.work_ms,
+                                      f.memory_mb};
   std::int32_t at = root_;
   while (at >= 0) {
     const auto index = static_cast<std::size_t>(at);
--- a/src/routes/logic/route.h
+++ b/src/routes/logic/route.h
@@ -1,5 +1,5 @@
-// Routes: what holds for which requests. A route matches by class, tenant, table group, front and estimates; of
-// those that match, the most specific one holds. Indices are those of the coordinator's tables; -1 is any.
+// Routes: what holds for which requests. A route matches by class, tenant, table group, front and estimates;
+// of those that match, the most specific one holds. Indices are those of the coordinator's tables; -1 is any.
 #pragma once
 
 #include <algorithm>
@@ -46,8 +46,8 @@
   std::vector<Micros> patience{};  // by attempt, the last one for all further ones; empty: the module's own
   Micros pause{0};                 // before a further attempt ...
   double jitter{0};                // ... give or take this part of it
-  Micros move_after{0};            // an attempt that may run again leaves its engine after so long; 0: never so
-  Micros copy_after{0};            // a later copy; 0: none. Only checked: none is sent yet
+  Micros move_after{0};  // an attempt that may run again leaves its engine after so long; 0: never so
+  Micros copy_after{0};  // a later copy; 0: none. Only checked: none is sent yet
   std::optional<double> ration{};  // further attempts for each first one
   double ration_burst{4};
   int limit_least{0}, limit_most{0};  // requests open at a time; 0: no limit
@@ -78,7 +78,8 @@
 
 bool matches_pattern(const std::string& pattern, const std::string& name);
 
-// Two routes of which neither is the more specific one where both match, and no third one says which holds there.
+// Two routes of which neither is the more specific one where both match, and no third one says which holds
+// there.
 struct Ambiguity {
   std::size_t first{}, second{};  // of the routes
 };
@@ -87,8 +88,8 @@
 // Plain: looks at each. What RouteTree answers as well, and is measured against.
 std::optional<std::size_t> match_linear(const std::vector<Route>& routes, const Facts& facts);
 
-// A decision tree over class, tenant, group, front, work and memory, one step a dimension; nodes with the same
-// routes left to choose from are one. Routes must be free of ambiguities.
+// A decision tree over class, tenant, group, front, work and memory, one step a dimension; nodes with the
+// same routes left to choose from are one. Routes must be free of ambiguities.
 class RouteTree {
  public:
   RouteTree() = default;
@@ -106,7 +107,7 @@
   };
   std::vector<Node> nodes_;
   std::vector<std::int8_t> dimensions_;  // of each node
-  std::int32_t root_{-1};  // below -1: a leaf, -2 - route; -1: no route
+  std::int32_t root_{-1};                // below -1: a leaf, -2 - route; -1: no route
 };
 
 }  // namespace steprail::routes
--- a/src/routes/logic/route_logic.cpp
+++ b/src/routes/logic/route_logic.cpp
@@ -81,7 +81,8 @@
   // The rate last: a token is spent on those alone who find a place.
   if (limits->limited) {
     double part = 1;
-    if (pool_of_[*route] >= 0) part = starts_[set_.pools[static_cast<std::size_t>(pool_of_[*route])].name].share(now);
+    if (pool_of_[*route] >= 0)
+      part = starts_[set_.pools[static_cast<std::size_t>(pool_of_[*route])].name].share(now);
     const double places = std::max(1.0, std::floor(limits->places.limit() * part));
     const bool room = limits->shares.out() + 1 <= places;
     if (!limits->shares.asks(tenant, places, now)) entry.let = room ? Let::kShare : Let::kLimit;
--- a/src/routes/logic/route_logic.h
+++ b/src/routes/logic/route_logic.h
@@ -1,7 +1,9 @@
-// What routes decide: which one a request takes, whether its limits have a place for it, and which engines it may go
-// to. The decision module is told figures and facts; that it then sends, tries again or refuses is its own word.
+// What routes decide: which one a request takes, whether its limits have a place for it, and which engines it
+// may go to. The decision module is told figures and facts; that it then sends, tries again or refuses is its
+// own word.
 //
-// No I/O, no clock: events in, facts out. Limits keep their state over a reload as long as they keep their name.
+// No I/O, no clock: events in, facts out. Limits keep their state over a reload as long as they keep their
+// name.
 #pragma once
 
 #include <map>
--- a/src/routes/plan/plan.cpp
+++ b/src/routes/plan/plan.cpp
@@ -10,9 +10,9 @@
 namespace steprail::routes {
 namespace {
 
-constexpr double kFullLoad = 0.85;     // of the cores: beyond it queues grow without end
-constexpr double kLimitMargin = 1.5;   // a limit's most over the mean that is open by Little's law
-constexpr double kGridStep = 1.25;     // between one patience that is weighed and the next
+constexpr double kFullLoad = 0.85;    // of the cores: beyond it queues grow without end
+constexpr double kLimitMargin = 1.5;  // a limit's most over the mean that is open by Little's law
+constexpr double kGridStep = 1.25;    // between one patience that is weighed and the next
 
 // The log-normal with this mean and deviation.
 struct LogNormal {
@@ -60,7 +60,8 @@
 
 Expected expected(const Stream& stream, const ClassSettings& cls, int attempts, Micros patience) {
   const LogNormal time(stream.time_ms, stream.spread);
-  const double p = ms(patience), aim = ms(cls.objective) + cls.aim_stretch * stream.time_ms, good = 1 - stream.lost;
+  const double p = ms(patience), aim = ms(cls.objective) + cls.aim_stretch * stream.time_ms,
+               good = 1 - stream.lost;
   const double answered = good * time.below(p);
   Expected out;
   double comes_to = 1;  // the chance that this attempt is made
@@ -87,7 +88,8 @@
   for (const Stream& stream : traffic.streams) {
     const int cls = tables.classes.index(stream.cls);
     if (cls < 0 || (!stream.tenant.empty() && tables.tenants.index(stream.tenant) < 0)) {
-      out.fault = "line " + std::to_string(stream.line) + ": traffic '" + stream.name + "' is of a class or tenant that nobody has";
+      out.fault = "line " + std::to_string(stream.line) + ": traffic '" + stream.name +
+                  "' is of a class or tenant that nobody has";
       return out;
     }
     const ClassSettings& settings_of = settings.classes[static_cast<std::size_t>(cls)];
@@ -160,13 +162,15 @@
   // Without routes: one attempt for as long as the client waits, and all alike go short where the cores do.
   const double all_alike = std::min(1.0, capacity / std::max(1.0, busy_before));
   for (const Row& row : rows)
-    out.worth_before += row.stream->rate * all_alike * expected(*row.stream, *row.cls, 1, row.cls->hard_limit).worth;
+    out.worth_before +=
+        row.stream->rate * all_alike * expected(*row.stream, *row.cls, 1, row.cls->hard_limit).worth;
 
   for (const Row& row : rows) {
     if (!row.taken) continue;
     const Option& option = row.options[*row.taken];
     const Stream& stream = *row.stream;
-    PlannedRoute route{stream.name, stream.cls, stream.tenant, option.attempts, option.patience, row.admitted, {}};
+    PlannedRoute route{stream.name,  stream.cls, stream.tenant, option.attempts, option.patience,
+                       row.admitted, {}};
     const double worth = stream.rate * row.admitted * option.expected.worth;
     const auto without = [&](int attempts, Micros patience) {
       return worth - stream.rate * row.admitted * expected(stream, *row.cls, attempts, patience).worth;
@@ -184,8 +188,9 @@
       // What all the others would lose, if this one came in whole and all went short alike.
       const double more = stream.rate * (1 - row.admitted) * option.expected.busy_ms;
       const double short_by = more / (capacity + more);
-      route.lines.push_back({"rate " + std::to_string(rate) + ' ' + std::to_string(rate),
-                             std::max(0.0, out.worth * short_by - stream.rate * (1 - row.admitted) * option.expected.worth)});
+      route.lines.push_back(
+          {"rate " + std::to_string(rate) + ' ' + std::to_string(rate),
+           std::max(0.0, out.worth * short_by - stream.rate * (1 - row.admitted) * option.expected.worth)});
     }
     out.routes.push_back(std::move(route));
   }
--- a/src/routes/plan/plan.h
+++ b/src/routes/plan/plan.h
@@ -1,5 +1,5 @@
-// The planner: from stated traffic and engines, the patience, attempts, limits and rates that bring the most worth
-// under the rules, as mixed-integer programming (GLPK). What it says is as good as its traffic file.
+// The planner: from stated traffic and engines, the patience, attempts, limits and rates that bring the most
+// worth under the rules, as mixed-integer programming (GLPK). What it says is as good as its traffic file.
 #pragma once
 
 #include <string>
@@ -27,8 +27,8 @@
 void register_traffic(conf::Schema& schema, Traffic& into);
 
 struct PlannedLine {
-  std::string text;   // as it stands in the file
-  double brings{0};   // worth a second that is lost without this line alone; may be 0
+  std::string text;  // as it stands in the file
+  double brings{0};  // worth a second that is lost without this line alone; may be 0
 };
 struct PlannedRoute {
   std::string name, cls, tenant;
--- a/src/routes/plan/traffic.cpp
+++ b/src/routes/plan/traffic.cpp
@@ -1,7 +1,7 @@
-#include "routes/plan/plan.h"
-
 #include <cstdio>
 
+#include "routes/plan/plan.h"
+
 namespace steprail::routes {
 namespace {
 
@@ -17,9 +17,12 @@
 
 void register_traffic(conf::Schema& schema, Traffic& into) {
   conf::Block& engines = schema.block("engines", "What all engines have together.");
-  engines.directive("cores", "of all of them").count("COUNT", 1, 1e7).required().take([&into](const Given& given) {
-    return into.cores = static_cast<double>(given.whole(0)), std::string();
-  });
+  engines.directive("cores", "of all of them")
+      .count("COUNT", 1, 1e7)
+      .required()
+      .take([&into](const Given& given) {
+        return into.cores = static_cast<double>(given.whole(0)), std::string();
+      });
   conf::Block& block = schema.block("traffic", "One kind of requests.");
   block.named([&into](const std::string& name, std::size_t line) {
     into.streams.emplace_back();
@@ -34,9 +37,12 @@
   block.directive("tenant", "their tenant").text("NAME").standard("any").take([last](const Given& given) {
     return last().tenant = given.text(0), std::string();
   });
-  block.directive("rate", "requests a second").count("COUNT", 1, 1e6).required().take([last](const Given& given) {
-    return last().rate = static_cast<double>(given.whole(0)), std::string();
-  });
+  block.directive("rate", "requests a second")
+      .count("COUNT", 1, 1e6)
+      .required()
+      .take([last](const Given& given) {
+        return last().rate = static_cast<double>(given.whole(0)), std::string();
+      });
   block.directive("time", "of an attempt that is answered: its mean, and its deviation as a part of that")
       .time("MEAN", 1e3, 3.6e9)
       .option({"spread", conf::Kind::kPercent, 0.01, 5})
@@ -46,18 +52,21 @@
         last().spread = given.option("spread", 0.5);
         return std::string();
       });
-  block.directive("lost", "attempts that never answer").percent("PART", 0, 0.95).standard("0%").take([last](const Given& given) {
-    return last().lost = given.real(0), std::string();
-  });
+  block.directive("lost", "attempts that never answer")
+      .percent("PART", 0, 0.95)
+      .standard("0%")
+      .take([last](const Given& given) { return last().lost = given.real(0), std::string(); });
 }
 
 std::string Plan::file() const {
-  std::string out = "# Planned: " + text(worth) + " worth a second, " + text(worth_before) + " without routes.\n";
+  std::string out =
+      "# Planned: " + text(worth) + " worth a second, " + text(worth_before) + " without routes.\n";
   for (const PlannedRoute& route : routes) {
     out += "route " + route.name + " {\n  class " + route.cls + '\n';
     if (!route.tenant.empty()) out += "  tenant " + route.tenant + '\n';
     for (const PlannedLine& line : route.lines)
-      out += "  " + line.text + (line.brings > 0 ? "  # brings " + text(line.brings) + " a second" : "") + '\n';
+      out +=
+          "  " + line.text + (line.brings > 0 ? "  # brings " + text(line.brings) + " a second" : "") + '\n';
     out += "}\n";
   }
   return out;
--- a/src/routes/routes.cpp
+++ b/src/routes/routes.cpp
@@ -27,7 +27,8 @@
 void Routes::reconfigure(RouteSet set) {
   logic_.reconfigure(std::move(set), weights(), coordinator_.now());
   coordinator_.routes(logic_.news());
-  log_.event(Level::kInfo, "routes-taken", {{"routes", logic_.set().routes.size()}, {"pools", logic_.set().pools.size()}});
+  log_.event(Level::kInfo, "routes-taken",
+             {{"routes", logic_.set().routes.size()}, {"pools", logic_.set().pools.size()}});
 }
 
 void Routes::arrived(const Query& query, Arrival& arrival) {
--- a/src/routes/settings.cpp
+++ b/src/routes/settings.cpp
@@ -38,8 +38,11 @@
   pool.directive("engines", "engines whose name fits: * is any run of characters, ? is one")
       .text("PATTERN")
       .standard("*")
-      .take([last_pool](const Given& given) { return last_pool().pool.pattern = given.text(0), std::string(); });
-  pool.directive("slow-start", "after the pool was empty its limits grow to their full size in this time, from a part")
+      .take([last_pool](const Given& given) {
+        return last_pool().pool.pattern = given.text(0), std::string();
+      });
+  pool.directive("slow-start",
+                 "after the pool was empty its limits grow to their full size in this time, from a part")
       .time("TIME", 0, 60 * kMinute)
       .percent("FROM", 0.01, 1)
       .standard("none")
@@ -50,8 +53,9 @@
         return std::string();
       });
 
-  conf::Block& route = schema.block("route", "What holds for the requests that match all that is said of them; of "
-                                             "several routes the most specific one holds.");
+  conf::Block& route = schema.block("route",
+                                    "What holds for the requests that match all that is said of them; of "
+                                    "several routes the most specific one holds.");
   const auto last = [&into]() -> RouteConf::One& { return into.routes.back(); };
   route.named([&into](const std::string& name, std::size_t line) {
     into.routes.emplace_back();
@@ -59,30 +63,40 @@
     into.routes.back().route.line = line;
     return std::string();
   });
-  route.directive("class", "requests of this class").text("NAME").standard("any").take([last](const Given& given) {
-    last().cls = given.text(0);
-    last().cls_line = given.line;
-    return std::string();
-  });
+  route.directive("class", "requests of this class")
+      .text("NAME")
+      .standard("any")
+      .take([last](const Given& given) {
+        last().cls = given.text(0);
+        last().cls_line = given.line;
+        return std::string();
+      });
   route.directive("tenant", "of this tenant").text("NAME").standard("any").take([last](const Given& given) {
     last().tenant = given.text(0);
     last().tenant_line = given.line;
     return std::string();
   });
-  route.directive("group", "of this group of tables").count("NUMBER", 0, 1e9).standard("any").take([last](const Given& given) {
-    return last().route.match.group = static_cast<int>(given.whole(0)), std::string();
-  });
+  route.directive("group", "of this group of tables")
+      .count("NUMBER", 0, 1e9)
+      .standard("any")
+      .take([last](const Given& given) {
+        return last().route.match.group = static_cast<int>(given.whole(0)), std::string();
+      });
   route.directive("front", "that came in by this front")
       .choice({"platform", "spool", "edge"})
       .standard("any")
       .take([last](const Given& given) { return last().front = given.text(0), std::string(); });
   const auto range = [&](const char* name, const char* help, Range Match::*member) {
-    route.directive(name, help).count("FROM", 0, 1e9).count("BELOW", 0, 1e9).standard("any").take([last, member](const Given& given) {
-      const Range wanted{static_cast<double>(given.whole(0)), static_cast<double>(given.whole(1))};
-      if (wanted.empty()) return std::string("no figure is at least FROM and below BELOW");
-      last().route.match.*member = wanted;
-      return std::string();
-    });
+    route.directive(name, help)
+        .count("FROM", 0, 1e9)
+        .count("BELOW", 0, 1e9)
+        .standard("any")
+        .take([last, member](const Given& given) {
+          const Range wanted{static_cast<double>(given.whole(0)), static_cast<double>(given.whole(1))};
+          if (wanted.empty()) return std::string("no figure is at least FROM and below BELOW");
+          last().route.match.*member = wanted;
+          return std::string();
+        });
   };
   range("work", "whose estimated work, in ms, lies from FROM on and below BELOW", &Match::work_ms);
   range("memory", "whose estimated memory, in MB, lies from FROM on and below BELOW", &Match::memory_mb);
@@ -94,7 +108,9 @@
         last().attempts_line = given.line;
         return std::string();
       });
-  route.directive("patience", "how long an attempt may be out; one line an attempt, the last one for all further ones")
+  route
+      .directive("patience",
+                 "how long an attempt may be out; one line an attempt, the last one for all further ones")
       .time("TIME", 10 * kMs, 60 * kMinute)
       .repeated()
       .standard("the module's own")
@@ -113,11 +129,18 @@
         last().pause_line = given.line;
         return std::string();
       });
-  route.directive("move-after", "an attempt that may run again leaves its engine for another one after this time")
+  route
+      .directive("move-after",
+                 "an attempt that may run again leaves its engine for another one after this time")
       .time("TIME", 100 * kMs, 60 * kMinute)
       .standard("as the module sees fit")
-      .take([last](const Given& given) { return last().route.terms.move_after = Micros{given.whole(0)}, std::string(); });
-  route.directive("copy-after", "a later copy of an attempt; checked against the rule on two attempts at once, but not sent yet")
+      .take([last](const Given& given) {
+        return last().route.terms.move_after = Micros{given.whole(0)}, std::string();
+      });
+  route
+      .directive(
+          "copy-after",
+          "a later copy of an attempt; checked against the rule on two attempts at once, but not sent yet")
       .time("TIME", 10 * kMs, 60 * kMinute)
       .standard("none")
       .take([last](const Given& given) {
@@ -154,7 +177,10 @@
         last().route.terms.rate_burst = static_cast<double>(given.whole(1));
         return std::string();
       });
-  route.directive("grant", "memory for each attempt, in MB, where engines heed it; never more than an engine gives one query")
+  route
+      .directive(
+          "grant",
+          "memory for each attempt, in MB, where engines heed it; never more than an engine gives one query")
       .count("MB", 1, 1e6)
       .standard("the module's own")
       .take([last](const Given& given) {
@@ -167,11 +193,14 @@
       .take([last](const Given& given) {
         return last().route.terms.priority = static_cast<int>(given.whole(0)), std::string();
       });
-  route.directive("pool", "its engines").text("NAME").standard("every engine").take([last](const Given& given) {
-    last().route.terms.pool = given.text(0);
-    last().pool_line = given.line;
-    return std::string();
-  });
+  route.directive("pool", "its engines")
+      .text("NAME")
+      .standard("every engine")
+      .take([last](const Given& given) {
+        last().route.terms.pool = given.text(0);
+        last().pool_line = given.line;
+        return std::string();
+      });
 }
 
 RouteSet resolve(const RouteConf& conf, const Tables& tables, std::vector<Wrong>& wrong) {
@@ -189,8 +218,10 @@
   };
   for (const RouteConf::OnePool& one : conf.pools) {
     Pool pool = one.pool;
-    for (const std::string& zone : one.zones) pool.zones.push_back(index(tables.zones, zone, "zone", one.zone_line));
-    for (const std::string& kind : one.kinds) pool.kinds.push_back(index(tables.kinds, kind, "kind", one.kind_line));
+    for (const std::string& zone : one.zones)
+      pool.zones.push_back(index(tables.zones, zone, "zone", one.zone_line));
+    for (const std::string& kind : one.kinds)
+      pool.kinds.push_back(index(tables.kinds, kind, "kind", one.kind_line));
     set.pools.push_back(std::move(pool));
   }
   constexpr const char* kFronts[] = {"platform", "spool", "edge"};
@@ -201,17 +232,19 @@
     for (int front = 0; front < 3; ++front) {
       if (one.front == kFronts[front]) route.match.front = front;
     }
-    const bool known = route.terms.pool.empty() ||
-                       std::any_of(set.pools.begin(), set.pools.end(), [&](const Pool& p) { return p.name == route.terms.pool; });
+    const bool known =
+        route.terms.pool.empty() || std::any_of(set.pools.begin(), set.pools.end(),
+                                                [&](const Pool& p) { return p.name == route.terms.pool; });
     if (!known) wrong.push_back({one.pool_line, "no pool is named '" + route.terms.pool + "'"});
     set.routes.push_back(std::move(route));
   }
   if (!wrong.empty()) return set;
   for (const Ambiguity& both : ambiguities(set.routes)) {
     const Route &first = set.routes[both.first], &second = set.routes[both.second];
-    wrong.push_back({second.line, "route '" + second.name + "' and route '" + first.name + "' of line " +
-                                      std::to_string(first.line) +
-                                      " both match some requests, and neither is the more specific one there"});
+    wrong.push_back(
+        {second.line, "route '" + second.name + "' and route '" + first.name + "' of line " +
+                          std::to_string(first.line) +
+                          " both match some requests, and neither is the more specific one there"});
   }
   return set;
 }
--- a/src/routes/settings.h
+++ b/src/routes/settings.h
@@ -1,5 +1,5 @@
-// What the operator's file says of routes and pools, and its registration there. Names of classes, tenants and zones
-// belong to the platform's file: they are looked up by resolve(), once both are read.
+// What the operator's file says of routes and pools, and its registration there. Names of classes, tenants
+// and zones belong to the platform's file: they are looked up by resolve(), once both are read.
 #pragma once
 
 #include <string>
--- a/src/routes/solvers.h
+++ b/src/routes/solvers.h
@@ -1,5 +1,5 @@
-// The library libsteprail_check.so beside the program: what needs a solver, loaded where it is first asked for and
-// kept from then on.
+// The library libsteprail_check.so beside the program: what needs a solver, loaded where it is first asked
+// for and kept from then on.
 #pragma once
 
 #include <string>
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -10,8 +10,8 @@
 namespace {
 // After SIGTERM new connections come for 0.4 s at most, and requests on open ones for 0.2 s more.
 constexpr std::chrono::milliseconds kGrace{700};
-// SIGKILL comes no earlier than the longest request's time, or 3 s where that is longer, after the grace. Shortly before,
-// what is still open is answered: a process that is killed answers nobody.
+// SIGKILL comes no earlier than the longest request's time, or 3 s where that is longer, after the grace.
+// Shortly before, what is still open is answered: a process that is killed answers nobody.
 constexpr std::chrono::milliseconds kKilledAfter{3000}, kLastAnswers{200};
 constexpr std::chrono::milliseconds kDrainLook{10};
 constexpr std::chrono::seconds kSettle{5};
@@ -19,8 +19,9 @@
 constexpr std::chrono::seconds kListenMost{30};
 constexpr std::chrono::milliseconds kListenPause{50};
 constexpr std::chrono::seconds kDrainMost{15};  // for devices to take what is on its way to them
-constexpr std::size_t kStorePart = 8;        // of the memory may be held for slow clients
-constexpr std::size_t kSpoolDescriptors = 16;  // listener, index, a segment being written and those being read
+constexpr std::size_t kStorePart = 8;           // of the memory may be held for slow clients
+constexpr std::size_t kSpoolDescriptors =
+    16;                                      // listener, index, a segment being written and those being read
 constexpr std::size_t kOwnDescriptors = 24;  // log, epoll, timers, signals, listener, directory
 }  // namespace
 
@@ -60,8 +61,8 @@
   readers_ = std::make_unique<spool::ReaderFront>(strand_, coordinator_, log_, config_.tables, *spool_,
                                                   reader_limits());
   if (!conf_.edge.on) return;
-  edge_ = std::make_unique<edge::Edge>(strand_, coordinator_, log_, *metrics_, config_.tables, *spool_, conf_.edge,
-                                       config_.seed, std::move(ledger));
+  edge_ = std::make_unique<edge::Edge>(strand_, coordinator_, log_, *metrics_, config_.tables, *spool_,
+                                       conf_.edge, config_.seed, std::move(ledger));
   edge_fronts_ = std::make_unique<edge::Fronts>(strand_, log_, *edge_, edge_limits());
 }
 
@@ -96,22 +97,24 @@
     if (!at) throw std::runtime_error(conf_.path + ": listen is no address: '" + conf_.spool.listen + "'");
     reader_endpoint_ = readers_->listen(*at);
     readers_->set_ready(true);
-    const std::string address = reader_endpoint_.address().to_string() + ':' + std::to_string(reader_endpoint_.port());
+    const std::string address =
+        reader_endpoint_.address().to_string() + ':' + std::to_string(reader_endpoint_.port());
     log_.event(Level::kInfo, "spool-listening", {{"address", address}});
   }
   if (edge_fronts_) {
     const auto at = parse_address(conf_.edge.listen);
     if (!at) throw std::runtime_error(conf_.path + ": listen is no address: '" + conf_.edge.listen + "'");
     edge_endpoint_ = edge_fronts_->listen(*at);
-    const std::string address = edge_endpoint_.address().to_string() + ':' + std::to_string(edge_endpoint_.port());
+    const std::string address =
+        edge_endpoint_.address().to_string() + ':' + std::to_string(edge_endpoint_.port());
     log_.event(Level::kInfo, "edge-listening", {{"address", address}, {"home", conf_.edge.logic.home}});
   }
   listen_until_ = std::chrono::steady_clock::now() + kListenMost;
   open_front();
 }
 
-// The process before this one may hold the address still: it has its requests' time to end. Nobody comes to this one
-// before it answers.
+// The process before this one may hold the address still: it has its requests' time to end. Nobody comes to
+// this one before it answers.
 void Server::open_front() {
   if (stopping_) return;
   boost::system::error_code error;
@@ -121,10 +124,12 @@
     front_.set_ready(true);
     return log_.line("serving as " + config_.name);
   }
-  const std::string address = config_.listen.address().to_string() + ':' + std::to_string(config_.listen.port());
+  const std::string address =
+      config_.listen.address().to_string() + ':' + std::to_string(config_.listen.port());
   if (error != boost::asio::error::address_in_use || std::chrono::steady_clock::now() >= listen_until_)
     throw std::runtime_error("cannot listen at " + address + ": " + error.message());
-  if (!std::exchange(told_held_, true)) log_.line("the address " + address + " is held by another process, waiting");
+  if (!std::exchange(told_held_, true))
+    log_.line("the address " + address + " is held by another process, waiting");
   grace_.expires_after(kListenPause);
   grace_.async_wait([this](boost::system::error_code e) {
     if (!e) open_front();
@@ -145,8 +150,8 @@
   });
 }
 
-// Of the platform's file only the directory's address can change under way: what else it says takes a restart.
-// The operator's file is taken whole or not at all. Where either cannot be used, nothing changes.
+// Of the platform's file only the directory's address can change under way: what else it says takes a
+// restart. The operator's file is taken whole or not at all. Where either cannot be used, nothing changes.
 void Server::reload() {
   try {
     const Config fresh = read_config(config_.path);
@@ -182,7 +187,9 @@
 std::size_t Server::client_limit() const { return std::max<std::size_t>(1, config_.sockets * 2 / 5); }
 
 // Until every request that may have had an attempt on an engine has ended, and the module's next look around.
-Micros Server::reference_time() const { return longest_request() + config_.settings.answer_slack + Micros{kSettle}; }
+Micros Server::reference_time() const {
+  return longest_request() + config_.settings.answer_slack + Micros{kSettle};
+}
 
 Micros Server::longest_request() const {
   Micros longest{0};
@@ -217,12 +224,13 @@
     last_call_.expires_after(kGrace + std::min<Micros>(longest_request(), kKilledAfter) - kLastAnswers);
     last_call_.async_wait([this](boost::system::error_code error) {
       if (error || coordinator_.unanswered() == 0) return;
-      log_.line("answering " + std::to_string(coordinator_.unanswered()) + " requests that cannot end any more");
+      log_.line("answering " + std::to_string(coordinator_.unanswered()) +
+                " requests that cannot end any more");
       coordinator_.answer_all();
     });
   }
-  // By then every request has its answer, and every client had its time to read it. Results that readers have not
-  // fetched yet have bounds of their own.
+  // By then every request has its answer, and every client had its time to read it. Results that readers have
+  // not fetched yet have bounds of their own.
   last_.expires_after(kGrace + reference_time());
   last_.async_wait([this](boost::system::error_code error) {
     if (!error && !spool_) end();
@@ -252,7 +260,8 @@
       log_.event(Level::kWarn, "metrics-not-written", {{"cause", fault}});
     });
   });
-  if (!taken) log_.event(Level::kWarn, "metrics-not-written", {{"cause", "the last ones are still being written"}});
+  if (!taken)
+    log_.event(Level::kWarn, "metrics-not-written", {{"cause", "the last ones are still being written"}});
 }
 
 // The last answers must be with the kernel before the process ends.
--- a/src/server.h
+++ b/src/server.h
@@ -4,13 +4,13 @@
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 
+#include "base/worker.h"
 #include "config.h"
 #include "core/coordinator.h"
+#include "edge/fronts.h"
 #include "net/directory.h"
 #include "net/engine_pool.h"
-#include "base/worker.h"
 #include "net/front.h"
-#include "edge/fronts.h"
 #include "operator.h"
 #include "routes/routes.h"
 #include "spool/reader_front.h"
--- a/src/spool/logic/budget.h
+++ b/src/spool/logic/budget.h
@@ -1,9 +1,9 @@
 // A budget in bytes, divided among tenants.
 //
-// A part of the budget is reserved, by the tenants' weights; the rest goes to who comes first. Each tenant can
-// always have what is reserved for it, whatever the others hold: a request is let in only if, with it, all that
-// is used and all that is reserved but unused still fit. From the high mark down to the low one a tenant gets
-// nothing beyond its reserve.
+// A part of the budget is reserved, by the tenants' weights; the rest goes to who comes first. Each tenant
+// can always have what is reserved for it, whatever the others hold: a request is let in only if, with it,
+// all that is used and all that is reserved but unused still fit. From the high mark down to the low one a
+// tenant gets nothing beyond its reserve.
 #pragma once
 
 #include <algorithm>
--- a/src/spool/logic/page_index.h
+++ b/src/spool/logic/page_index.h
@@ -1,7 +1,7 @@
 // Which page of a result holds a row, and where pages begin in rows and bytes.
 //
-// Built once, read often: two flat arrays of running sums. Pages of one result hold nearly equal numbers of rows,
-// so that a straight line through the ends guesses the page; from the guess, steps that double find it.
+// Built once, read often: two flat arrays of running sums. Pages of one result hold nearly equal numbers of
+// rows, so that a straight line through the ends guesses the page; from the guess, steps that double find it.
 #pragma once
 
 #include <algorithm>
--- a/src/spool/logic/spool_logic.cpp
+++ b/src/spool/logic/spool_logic.cpp
@@ -244,8 +244,8 @@
   return grant;
 }
 
-Grant SpoolLogic::acknowledge(std::string_view handle, std::size_t tenant, ReaderId reader, std::uint64_t rows,
-                              Micros now, std::vector<Order>& out) {
+Grant SpoolLogic::acknowledge(std::string_view handle, std::size_t tenant, ReaderId reader,
+                              std::uint64_t rows, Micros now, std::vector<Order>& out) {
   Grant grant = open(handle, tenant, reader);
   if (grant.access != Access::kGranted) return grant;
   const auto at = results_.find(grant.id);
@@ -257,8 +257,7 @@
   result.acknowledged = std::max(result.acknowledged, rows);
   touch(grant.id, result, now);
   // Also of one that a process before this one has handed out to its last row.
-  if (result.acknowledged == result.index.rows())
-    end(at, End::kAcknowledged, out);
+  if (result.acknowledged == result.index.rows()) end(at, End::kAcknowledged, out);
   return grant;
 }
 
@@ -439,7 +438,7 @@
   const auto at = results_.find(id);
   if (at == results_.end()) return std::nullopt;
   const Result& r = at->second;
-  return View{r.state,   r.tenant,  &r.handle, &r.index, r.acknowledged,
+  return View{r.state,   r.tenant,  &r.handle, &r.index,  r.acknowledged,
               r.charged, r.expires, r.give_up, r.on_disk, r.storing};
 }
 
--- a/src/spool/logic/spool_logic.h
+++ b/src/spool/logic/spool_logic.h
@@ -1,8 +1,8 @@
 // What the spool decides: which result is kept, where, for how long, and who may read it.
 //
 // No I/O, no clock, no randomness: events in, actions out, equal events give equal actions. Times are of a
-// monotonic clock. Bytes are charged when they are let in and given back when the last holder has let go of them,
-// so that what waits in a client's queue counts for as long as it is in memory.
+// monotonic clock. Bytes are charged when they are let in and given back when the last holder has let go of
+// them, so that what waits in a client's queue counts for as long as it is in memory.
 #pragma once
 
 #include <cstdint>
@@ -30,9 +30,9 @@
 
 struct LogicSettings {
   Marks memory{64u << 20};
-  Marks disk{0};             // most = 0: no disk tier
-  double read_part{0.125};   // of the memory, for what is read back from disk
-  Bytes disk_above{0};       // results so long go to disk as soon as they are whole; 0: only under pressure
+  Marks disk{0};            // most = 0: no disk tier
+  double read_part{0.125};  // of the memory, for what is read back from disk
+  Bytes disk_above{0};      // results so long go to disk as soon as they are whole; 0: only under pressure
   Bytes result_most{48'000};
   Bytes direct_most{48'000};  // the platform's bound on an answer, for those that find the spool full
   Micros lease{30'000'000};
@@ -42,7 +42,8 @@
 };
 
 // What is to be done, in this order.
-struct Drop {  // let go of the pages in memory; on disk: erase it there, behind a Store under way; erased() follows
+struct Drop {  // let go of the pages in memory; on disk: erase it there, behind a Store under way; erased()
+               // follows
   ResultId id{};
   End why{};
   bool on_disk{};
@@ -77,10 +78,12 @@
   SpoolLogic(LogicSettings settings, std::vector<double> weights, Micros now);
 
   // A reload. What is in use stays; a budget that is lower than that lets in nothing until it has drained.
-  void reconfigure(const LogicSettings& settings, const std::vector<double>& weights, std::vector<Order>& out);
+  void reconfigure(const LogicSettings& settings, const std::vector<double>& weights,
+                   std::vector<Order>& out);
 
   // ---- A request ----
-  // False where the id is in use already or too many results are held: then the request goes without the spool.
+  // False where the id is in use already or too many results are held: then the request goes without the
+  // spool.
   bool submitted(ResultId id, std::size_t tenant, std::string handle, ReaderId reader, Micros give_up);
   // The first page of an attempt is here; `expected` is the guess at the whole. Charged if it is let in.
   Placement begin(ResultId id, Bytes expected);
@@ -95,13 +98,13 @@
 
   // ---- Readers ----
   Grant resume(ResultId id, std::size_t tenant, ReaderId reader, Micros now);
-  Grant fetch_row(std::string_view handle, std::size_t tenant, ReaderId reader, std::uint64_t row, Bytes window,
-                  Micros now);
-  Grant fetch_page(std::string_view handle, std::size_t tenant, ReaderId reader, std::size_t page, Bytes window,
-                   Micros now);
+  Grant fetch_row(std::string_view handle, std::size_t tenant, ReaderId reader, std::uint64_t row,
+                  Bytes window, Micros now);
+  Grant fetch_page(std::string_view handle, std::size_t tenant, ReaderId reader, std::size_t page,
+                   Bytes window, Micros now);
   // Cumulative; rows beyond the end are kBeyond. The last row's ends the result.
-  Grant acknowledge(std::string_view handle, std::size_t tenant, ReaderId reader, std::uint64_t rows, Micros now,
-                    std::vector<Order>& out);
+  Grant acknowledge(std::string_view handle, std::size_t tenant, ReaderId reader, std::uint64_t rows,
+                    Micros now, std::vector<Order>& out);
   Grant release(std::string_view handle, std::size_t tenant, ReaderId reader, std::vector<Order>& out);
   // True once for each result: its last row has been handed out.
   bool handed_out(ResultId id, std::uint64_t end_row);
@@ -109,7 +112,8 @@
 
   // ---- Memory and disk ----
   void freed(std::size_t tenant, Bytes bytes, std::vector<Order>& out);
-  // What is charged for a result's pages now: the holder of the pages gives back as much when the last is gone.
+  // What is charged for a result's pages now: the holder of the pages gives back as much when the last is
+  // gone.
   Bytes charged(ResultId id) const;
   bool too_long(Bytes expected) const { return expected > settings_.result_most; }
   // Room for reading back from disk: a budget of its own, so that a full spool cannot stop its readers.
@@ -195,7 +199,8 @@
   };
   std::unordered_map<ResultId, OnDisk> on_disk_;
   std::unordered_map<std::string, ResultId> handles_;
-  std::vector<std::list<ResultId>> eviction_;  // by tenant; the one that was left alone for longest goes first
+  std::vector<std::list<ResultId>>
+      eviction_;  // by tenant; the one that was left alone for longest goes first
   struct Past {
     ResultId id{};
     std::size_t tenant{};
--- a/src/spool/logic/state.h
+++ b/src/spool/logic/state.h
@@ -37,8 +37,9 @@
 }
 
 constexpr const char* name(End end) {
-  constexpr const char* names[] = {"acknowledged", "released", "interrupted", "refused", "failed", "given-up",
-                                   "lease-ended",  "direct",   "full",        "too-long", "lost"};
+  constexpr const char* names[] = {"acknowledged", "released", "interrupted", "refused",
+                                   "failed",       "given-up", "lease-ended", "direct",
+                                   "full",         "too-long", "lost"};
   return names[static_cast<int>(end)];
 }
 
--- a/src/spool/reader_front.cpp
+++ b/src/spool/reader_front.cpp
@@ -142,7 +142,8 @@
         read(message.call, method, fields);
       }
     } else if (call) {
-      push(thrift::application_exception(message.call, method, thrift::Fault::kUnknownMethod, "unknown method"));
+      push(thrift::application_exception(message.call, method, thrift::Fault::kUnknownMethod,
+                                         "unknown method"));
       mark();
     }
     return true;
@@ -219,17 +220,17 @@
     // Set before, as the answer may come at once.
     reading_ = true;
     const auto self = weak_from_this();
-    const Grant grant = front_.spool_.fetch(
-        handle, tenant, number(), {!by_page.empty(), static_cast<std::uint64_t>(*at)},
-        static_cast<Bytes>(*window), [self, call](const Window& window) {
-          const auto session = self.lock();
-          if (!session) return;
-          auto& reader = static_cast<Reader&>(*session);
-          reader.reading_ = false;
-          if (reader.closed()) return;
-          reader.fetched(call, window);
-          reader.resume_calls();
-        });
+    const Grant grant =
+        front_.spool_.fetch(handle, tenant, number(), {!by_page.empty(), static_cast<std::uint64_t>(*at)},
+                            static_cast<Bytes>(*window), [self, call](const Window& window) {
+                              const auto session = self.lock();
+                              if (!session) return;
+                              auto& reader = static_cast<Reader&>(*session);
+                              reader.reading_ = false;
+                              if (reader.closed()) return;
+                              reader.fetched(call, window);
+                              reader.resume_calls();
+                            });
     if (grant.access == Access::kGranted) return;
     reading_ = false;
     deny(call, "fetch", grant);
@@ -259,7 +260,8 @@
       Waiting& waiting = at->second;
       // Whoever waited so far is told, and its connection is of no further use to this request.
       if (auto* other = static_cast<Reader*>(front_.find(waiting.session))) {
-        other->refuse(waiting.call, waiting.resumed ? "resume" : "submit", refusal(Access::kOtherReader), false);
+        other->refuse(waiting.call, waiting.resumed ? "resume" : "submit", refusal(Access::kOtherReader),
+                      false);
         other->done(waiting.call);
       }
       waiting.session = number();
@@ -324,7 +326,8 @@
     if (waiting.spooled) spool_.ended(id, why);
     if (reader == nullptr) return;
     thrift::Texts more;
-    if (answer.come_back.count() >= 1000) more.emplace_back("later", std::to_string(answer.come_back.count() / 1000));
+    if (answer.come_back.count() >= 1000)
+      more.emplace_back("later", std::to_string(answer.come_back.count() / 1000));
     return reader->refuse(waiting.call, method, refusal(why), refused || waiting.repeatable, std::move(more));
   }
   if (waiting.spooled) {
--- a/src/spool/reader_front.h
+++ b/src/spool/reader_front.h
@@ -1,5 +1,6 @@
 // The second service: results by handle, for readers that take their time or lose their connection. The same
-// codec and framing as the platform's service, on a listener of its own. docs/protocol/spool.md has the calls.
+// codec and framing as the platform's service, on a listener of its own. docs/protocol/spool.md has the
+// calls.
 #pragma once
 
 #include <unordered_map>
--- a/src/spool/settings.cpp
+++ b/src/spool/settings.cpp
@@ -30,16 +30,20 @@
       .address("ADDRESS")
       .required()
       .take([&into](const Given& given) { return into.listen = given.text(0), std::string(); });
-  with_marks(block.directive("memory", "bytes of results in memory; from the high mark down to the low one "
-                                       "results go to disk, or tenants get no more than is reserved for them")
+  with_marks(block
+                 .directive("memory",
+                            "bytes of results in memory; from the high mark down to the low one "
+                            "results go to disk, or tenants get no more than is reserved for them")
                  .bytes("SIZE", kM, 1024 * kG))
       .standard("64m high 90% low 70% reserved 50%")
       .take([=, &into](const Given& given) {
         into.logic.memory.most = bytes(given);
         return marks(into.logic.memory, given);
       });
-  with_marks(block.directive("disk", "a folder of the spool's own, and bytes of results in it; without it there "
-                                     "is no disk tier and no thread")
+  with_marks(block
+                 .directive("disk",
+                            "a folder of the spool's own, and bytes of results in it; without it there "
+                            "is no disk tier and no thread")
                  .path("FOLDER")
                  .bytes("SIZE", kM, 16 * 1024 * kG))
       .standard("none")
@@ -74,13 +78,13 @@
       .bytes("SIZE", 8 * kK, 64 * kM)
       .standard("2m")
       .take([=, &into](const Given& given) { return into.unread_most = bytes(given), std::string(); });
-  block.directive("lease", "how long a result is kept after its reader was last heard from; never beyond the "
-                           "request's give-up time")
+  block
+      .directive("lease",
+                 "how long a result is kept after its reader was last heard from; never beyond the "
+                 "request's give-up time")
       .time("TIME", kSecond / 10, 3600 * kSecond)
       .standard("30s")
-      .take([&into](const Given& given) {
-        return into.logic.lease = Micros{given.whole(0)}, std::string();
-      });
+      .take([&into](const Given& given) { return into.logic.lease = Micros{given.whole(0)}, std::string(); });
   block.directive("results-most", "results held at a time; those beyond are answered directly")
       .count("COUNT", 1, 1e7)
       .standard("100000")
@@ -111,7 +115,8 @@
   using Wrong = conf::Block::Wrong;
   block.rule([&into]() -> Wrong {
     if (into.logic.result_most * 4 <= into.logic.memory.most) return {};
-    return {"result-most", "a result may take a quarter of the memory at most, or a few would take all of it"};
+    return {"result-most",
+            "a result may take a quarter of the memory at most, or a few would take all of it"};
   });
   block.rule([&into]() -> Wrong {
     double sum = 0;
--- a/src/spool/spool.cpp
+++ b/src/spool/spool.cpp
@@ -9,7 +9,8 @@
 namespace steprail::spool {
 namespace {
 
-constexpr std::uint64_t kIndexMost = 256u << 20;  // of LMDB's file: some 100 bytes a page of what lives on disk
+constexpr std::uint64_t kIndexMost = 256u
+                                     << 20;  // of LMDB's file: some 100 bytes a page of what lives on disk
 constexpr std::size_t kHandleBytes = 16;
 
 std::int64_t unix_now() {
@@ -43,9 +44,11 @@
       results(m.counter("steprail_spool_results_total", "Results that came in whole.")),
       served(m.counter("steprail_spool_served_total", "Results whose last row was handed out.")),
       direct(m.counter("steprail_spool_direct_total", "Results answered whole at once: the spool was full.")),
-      full(m.counter("steprail_spool_full_total", "Results that neither the spool nor a direct answer could take.")),
+      full(m.counter("steprail_spool_full_total",
+                     "Results that neither the spool nor a direct answer could take.")),
       stored(m.counter("steprail_spool_stored_total", "Results written to disk.")),
-      not_stored(m.counter("steprail_spool_not_stored_total", "Results that stayed in memory: no room, or no disk.")),
+      not_stored(m.counter("steprail_spool_not_stored_total",
+                           "Results that stayed in memory: no room, or no disk.")),
       spoilt(m.counter("steprail_spool_spoilt_total", "Reads from disk that did not give what was written.")),
       recovered(m.counter("steprail_spool_recovered_total", "Results found whole at the start.")),
       lost(m.counter("steprail_spool_lost_total", "Results that the index knew and the disk did not have.")),
@@ -136,8 +139,8 @@
     for (const StoredPage& page : result.pages) index.add(page.rows, page.bytes);
     const Micros left{std::min(result.give_up_unix_us - unix_time, result.left_us)};
     const auto number = tenants_.empty() ? 0 : static_cast<std::size_t>(tenant - tenants_.begin());
-    if (known_tenant && logic_.recovered(result.id, number, result.handle, std::move(index), result.acknowledged,
-                                         result.bytes_on_disk(), now() + left, now())) {
+    if (known_tenant && logic_.recovered(result.id, number, result.handle, std::move(index),
+                                         result.acknowledged, result.bytes_on_disk(), now() + left, now())) {
       counted_.recovered.Increment();
     } else {
       disk_->erase(result.id, [] {});
@@ -183,7 +186,8 @@
   held.missing = pages;
   const Bytes expected = std::max<Bytes>(first.size(), 1) * pages;
   const Placement placement = logic_.begin(id, expected);
-  if (placement == Placement::kRefused) return give_up_on(held, logic_.too_long(expected) ? End::kTooLong : End::kFull);
+  if (placement == Placement::kRefused)
+    return give_up_on(held, logic_.too_long(expected) ? End::kTooLong : End::kFull);
   held.pages = std::make_shared<Pages>(freed_, view->tenant);
   held.pages->charge(logic_.charged(id));
   held.pages->bytes.resize(pages);
@@ -307,16 +311,16 @@
 Grant Spool::fetch(std::string_view handle, int tenant, ReaderId reader, From from, Bytes window,
                    std::function<void(Window)> then) {
   window = std::min(window == 0 ? settings_.window_most : window, settings_.window_most);
-  const Grant grant = from.by_page
-                          ? logic_.fetch_page(handle, known(tenant), reader, from.at, window, now())
-                          : logic_.fetch_row(handle, known(tenant), reader, from.at, window, now());
+  const Grant grant = from.by_page ? logic_.fetch_page(handle, known(tenant), reader, from.at, window, now())
+                                   : logic_.fetch_row(handle, known(tenant), reader, from.at, window, now());
   if (grant.access == Access::kGranted)
-    serve(grant.id, grant.first_page, grant.end_page, grant.first_row, window, grant.on_disk, std::move(then));
+    serve(grant.id, grant.first_page, grant.end_page, grant.first_row, window, grant.on_disk,
+          std::move(then));
   return grant;
 }
 
-void Spool::serve(RequestId id, std::size_t first, std::size_t last, std::uint64_t row, Bytes window, bool on_disk,
-                  std::function<void(Window)> then) {
+void Spool::serve(RequestId id, std::size_t first, std::size_t last, std::uint64_t row, Bytes window,
+                  bool on_disk, std::function<void(Window)> then) {
   const auto view = logic_.view(id);
   if (!on_disk) {
     const Window cut_out = cut(held_.at(id).pages, 0, *view->index, first, last, row, window);
@@ -324,7 +328,8 @@
     return then(cut_out);
   }
   Reading reading{id, view->tenant, first, last, 0, row, window, std::move(then)};
-  reading.bytes = view->index->bytes_before(last - 1) + view->index->bytes_in(last - 1) - view->index->bytes_before(first);
+  reading.bytes = view->index->bytes_before(last - 1) + view->index->bytes_in(last - 1) -
+                  view->index->bytes_before(first);
   waiting_.push_back(std::move(reading));
   read_back();
 }
@@ -447,21 +452,22 @@
   for (std::size_t page = 0; page < view->index->pages(); ++page)
     meta.pages.push_back({static_cast<std::uint32_t>(view->index->rows_in(page)),
                           static_cast<std::uint32_t>(view->index->bytes_in(page))});
-  disk_->put(std::move(meta), held->second.pages, [this, id = store.id](StoreError error, std::uint64_t on_disk) {
-    if (error == StoreError::kNone) {
-      counted_.stored.Increment();
-      logic_.stored(id, on_disk);
-      const auto view = logic_.view(id);
-      if (view && view->on_disk) held_.erase(id);
-      return;
-    }
-    counted_.not_stored.Increment();
-    if (error == StoreError::kClosed && logic_.disk_open()) {
-      log_.event(Level::kError, "spool-disk-closed", {{"cause", "a write or a sync has failed"}});
-      logic_.disk_closed();
-    }
-    logic_.not_stored(id);
-  });
+  disk_->put(std::move(meta), held->second.pages,
+             [this, id = store.id](StoreError error, std::uint64_t on_disk) {
+               if (error == StoreError::kNone) {
+                 counted_.stored.Increment();
+                 logic_.stored(id, on_disk);
+                 const auto view = logic_.view(id);
+                 if (view && view->on_disk) held_.erase(id);
+                 return;
+               }
+               counted_.not_stored.Increment();
+               if (error == StoreError::kClosed && logic_.disk_open()) {
+                 log_.event(Level::kError, "spool-disk-closed", {{"cause", "a write or a sync has failed"}});
+                 logic_.disk_closed();
+               }
+               logic_.not_stored(id);
+             });
 }
 
 void Spool::arm() {
@@ -484,9 +490,7 @@
   run();
 }
 
-bool Spool::settled() const {
-  return logic_.unread_in_memory() == 0 && (!disk_ || disk_->idle());
-}
+bool Spool::settled() const { return logic_.unread_in_memory() == 0 && (!disk_ || disk_->idle()); }
 
 void Spool::observe() {
   counted_.memory.Set(static_cast<double>(logic_.memory().used()));
--- a/src/spool/spool.h
+++ b/src/spool/spool.h
@@ -1,5 +1,5 @@
-// The spool: pages of results come in from the engines, are kept in memory or on disk as its logic decides, and
-// go out to readers by window. On the coordinator's strand, the disk's thread excepted.
+// The spool: pages of results come in from the engines, are kept in memory or on disk as its logic decides,
+// and go out to readers by window. On the coordinator's strand, the disk's thread excepted.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -78,7 +78,9 @@
   bool holds(RequestId id) const { return logic_.view(id).has_value(); }
 
   // ---- Readers ----
-  Grant resume(RequestId id, int tenant, ReaderId reader) { return logic_.resume(id, known(tenant), reader, now()); }
+  Grant resume(RequestId id, int tenant, ReaderId reader) {
+    return logic_.resume(id, known(tenant), reader, now());
+  }
   // What a resumed result looks like, with its first page.
   void reopen(RequestId id, std::function<void(Opened)> then);
   struct From {
--- a/src/spool/store/files.h
+++ b/src/spool/store/files.h
@@ -1,4 +1,5 @@
-// The files of the disk tier, behind an interface that tests put a faulty disk under, and the index beside them.
+// The files of the disk tier, behind an interface that tests put a faulty disk under, and the index beside
+// them.
 //
 // Every call may fail, and says so; none throws. A write may be short, and then it has failed.
 #pragma once
@@ -30,7 +31,8 @@
  public:
   virtual ~Files() = default;
   virtual std::unique_ptr<File> create(const std::string& name) = 0;  // null where it cannot be had
-  // To be read; null where it cannot be had. `missing`: because it is not there, and not for want of descriptors.
+  // To be read; null where it cannot be had. `missing`: because it is not there, and not for want of
+  // descriptors.
   virtual std::unique_ptr<File> open(const std::string& name, bool& missing) = 0;
   virtual bool remove(const std::string& name) = 0;
   virtual std::vector<std::string> list() = 0;
@@ -38,8 +40,8 @@
   virtual Io sync_names() = 0;
 };
 
-// What the index knows of a result: one value a result, put and erased in transactions that hold whole or not at
-// all, and are on the disk when commit() returns kGood.
+// What the index knows of a result: one value a result, put and erased in transactions that hold whole or not
+// at all, and are on the disk when commit() returns kGood.
 struct Change {
   std::uint64_t key{};
   std::string value;  // empty: erase
--- a/src/spool/store/lmdb_index.cpp
+++ b/src/spool/store/lmdb_index.cpp
@@ -40,7 +40,8 @@
       std::uint64_t number = change.key;
       MDB_val key{sizeof number, &number};
       MDB_val value{change.value.size(), const_cast<char*>(change.value.data())};
-      error = change.value.empty() ? mdb_del(txn, table_, &key, nullptr) : mdb_put(txn, table_, &key, &value, 0);
+      error =
+          change.value.empty() ? mdb_del(txn, table_, &key, nullptr) : mdb_put(txn, table_, &key, &value, 0);
       if (error != 0 && error != MDB_NOTFOUND) {
         mdb_txn_abort(txn);
         return say(error);
@@ -71,7 +72,8 @@
 
  private:
   static void check(int error, const char* what) {
-    if (error != 0) throw std::runtime_error(std::string("index cannot be ") + what + ": " + mdb_strerror(error));
+    if (error != 0)
+      throw std::runtime_error(std::string("index cannot be ") + what + ": " + mdb_strerror(error));
   }
   static Io say(int error) { return error == MDB_MAP_FULL || error == ENOSPC ? Io::kNoSpace : Io::kFailed; }
 
--- a/src/spool/store/segment_store.cpp
+++ b/src/spool/store/segment_store.cpp
@@ -70,8 +70,13 @@
   for (const StoredPage& page : result.pages) pages.push_back({page.rows, page.bytes});
   for (const StoredResult::Chunk& chunk : result.chunks)
     chunks.push_back({chunk.segment, chunk.offset, chunk.length, chunk.first_page});
-  const json value = {{"v", kVersion},         {"h", result.handle},          {"t", result.tenant},
-                      {"a", result.acknowledged}, {"g", result.give_up_unix_us}, {"l", result.left_us}, {"p", std::move(pages)},
+  const json value = {{"v", kVersion},
+                      {"h", result.handle},
+                      {"t", result.tenant},
+                      {"a", result.acknowledged},
+                      {"g", result.give_up_unix_us},
+                      {"l", result.left_us},
+                      {"p", std::move(pages)},
                       {"c", std::move(chunks)}};
   const auto bytes = json::to_cbor(value);
   return {bytes.begin(), bytes.end()};
--- a/src/spool/store/segment_store.h
+++ b/src/spool/store/segment_store.h
@@ -1,13 +1,13 @@
 // Whole results on disk: records in segments, and an index that says where they are.
 //
-// A result is written as records of up to 64 KB of whole pages, each with a checksum over its head and its bytes.
-// Order: records, sync, index, its sync. A result is there once the index says so; what a crash leaves behind
-// without that is a dead tail of a segment. Nothing is written into a segment of an earlier process, and nothing
-// is ever rewritten: a segment goes as a whole when no result in it lives. Results live for seconds to minutes,
-// so that segments die by themselves and need no compaction.
+// A result is written as records of up to 64 KB of whole pages, each with a checksum over its head and its
+// bytes. Order: records, sync, index, its sync. A result is there once the index says so; what a crash leaves
+// behind without that is a dead tail of a segment. Nothing is written into a segment of an earlier process,
+// and nothing is ever rewritten: a segment goes as a whole when no result in it lives. Results live for
+// seconds to minutes, so that segments die by themselves and need no compaction.
 //
-// For one thread. After a failed write or sync nothing more is written: what the kernel has done with the pages
-// that it could not write is not known, and a second sync that succeeds would prove nothing.
+// For one thread. After a failed write or sync nothing more is written: what the kernel has done with the
+// pages that it could not write is not known, and a second sync that succeeds would prove nothing.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
 namespace steprail::spool {
 
 struct StoreSettings {
-  std::uint64_t most{1u << 30};     // bytes of all segments, dead ones included
+  std::uint64_t most{1u << 30};  // bytes of all segments, dead ones included
   std::uint64_t segment{16u << 20};
   int compression{0};
 };
@@ -37,9 +37,9 @@
 struct StoredResult {
   std::uint64_t id{};
   std::string handle, tenant;
-  std::uint64_t acknowledged{};     // rows
-  std::int64_t give_up_unix_us{};   // of the request
-  std::int64_t left_us{};           // until then, when it was stored: no wall clock makes it longer
+  std::uint64_t acknowledged{};    // rows
+  std::int64_t give_up_unix_us{};  // of the request
+  std::int64_t left_us{};          // until then, when it was stored: no wall clock makes it longer
   std::vector<StoredPage> pages;
   struct Chunk {
     std::uint32_t segment{};
@@ -67,7 +67,7 @@
   Recovery recover(std::int64_t now_unix_us);
 
   struct Item {
-    StoredResult meta;                     // its chunks are filled in
+    StoredResult meta;  // its chunks are filled in
     std::vector<std::string_view> pages;
     StoreError error{StoreError::kNone};
     std::uint64_t on_disk{};
--- a/standins/client.h
+++ b/standins/client.h
@@ -21,8 +21,8 @@
 
 struct Reply {
   std::int32_t call{};
-  int kind{};      // Thrift's: 2 reply, 3 exception
-  int field{-1};   // 0 served, 1 refused, 2 failed
+  int kind{};     // Thrift's: 2 reply, 3 exception
+  int field{-1};  // 0 served, 1 refused, 2 failed
   Fields fields;
   std::string body;
   bool good{};
@@ -36,7 +36,8 @@
  public:
   Client(boost::asio::io_context& io, const tcp::endpoint& to);
   void write(const std::string& bytes);
-  void call(const std::string& method, std::int32_t call, const Fields& fields, const std::string& body = {}) {
+  void call(const std::string& method, std::int32_t call, const Fields& fields,
+            const std::string& body = {}) {
     write(encode_call(method, call, fields, body));
   }
   // The next whole reply that is here, reading so many bytes at most from the connection.
--- a/standins/device.h
+++ b/standins/device.h
@@ -1,5 +1,5 @@
-// A stand-in for a device: the other end of the edge's session protocol, without I/O, so that it runs over real
-// links and over simulated ones alike.
+// A stand-in for a device: the other end of the edge's session protocol, without I/O, so that it runs over
+// real links and over simulated ones alike.
 #pragma once
 
 #include <functional>
@@ -195,7 +195,8 @@
     if (at == requests_.end()) return;
     Request& request = at->second;
     if (request.done && request.asked_again > 0) {
-      // It was asked again before this side had the answer, and that has crossed it: the same is told once more.
+      // It was asked again before this side had the answer, and that has crossed it: the same is told once
+      // more.
       if (body.kind == edge::Body::Kind::kAnswer) request.changed |= body.outcome.how != request.outcome.how;
       return;
     }
--- a/standins/edge_client.cpp
+++ b/standins/edge_client.cpp
@@ -20,22 +20,25 @@
       : client_(client), alive_(client.alive_), stream_(client.io_), format_(format) {}
 
   void run() {
-    beast::get_lowest_layer(stream_).async_connect(client_.to_, [self = shared_from_this()](error_code error) {
-      if (error) return self->lost();
-      websocket::permessage_deflate deflate;
-      deflate.client_enable = true;
-      self->stream_.set_option(deflate);
-      self->stream_.binary(self->format_ == Format::kCbor);
-      self->stream_.set_option(websocket::stream_base::decorator([format = self->format_](websocket::request_type& request) {
-        request.set(http::field::sec_websocket_protocol, format == Format::kCbor ? "steprail.cbor" : "steprail.json");
-      }));
-      self->stream_.async_handshake("edge", "/edge/ws", [self](error_code e) {
-        if (e) return self->lost();
-        self->up_ = true;
-        self->write();
-        self->read();
-      });
-    });
+    beast::get_lowest_layer(stream_).async_connect(
+        client_.to_, [self = shared_from_this()](error_code error) {
+          if (error) return self->lost();
+          websocket::permessage_deflate deflate;
+          deflate.client_enable = true;
+          self->stream_.set_option(deflate);
+          self->stream_.binary(self->format_ == Format::kCbor);
+          self->stream_.set_option(
+              websocket::stream_base::decorator([format = self->format_](websocket::request_type& request) {
+                request.set(http::field::sec_websocket_protocol,
+                            format == Format::kCbor ? "steprail.cbor" : "steprail.json");
+              }));
+          self->stream_.async_handshake("edge", "/edge/ws", [self](error_code e) {
+            if (e) return self->lost();
+            self->up_ = true;
+            self->write();
+            self->read();
+          });
+        });
   }
   void say(const std::vector<Frame>& frames) override {
     for (const Frame& frame : frames) queue_.push_back(encode(frame, format_));
@@ -54,7 +57,8 @@
       Frame frame;
       std::string why;
       const auto data = self->buffer_.cdata();
-      if (!decode({static_cast<const char*>(data.data()), data.size()}, self->format_, frame, why)) return self->lost();
+      if (!decode({static_cast<const char*>(data.data()), data.size()}, self->format_, frame, why))
+        return self->lost();
       self->buffer_.consume(data.size());
       if (*self->alive_) self->client_.heard(self.get(), frame);
       self->read();
@@ -63,12 +67,13 @@
   void write() {
     if (!up_ || writing_ || queue_.empty()) return;
     writing_ = true;
-    stream_.async_write(boost::asio::buffer(queue_.front()), [self = shared_from_this()](error_code error, std::size_t) {
-      self->writing_ = false;
-      self->queue_.pop_front();
-      if (error) return self->lost();
-      self->write();
-    });
+    stream_.async_write(boost::asio::buffer(queue_.front()),
+                        [self = shared_from_this()](error_code error, std::size_t) {
+                          self->writing_ = false;
+                          self->queue_.pop_front();
+                          if (error) return self->lost();
+                          self->write();
+                        });
   }
   void lost() {
     if (*alive_) client_.lost(this);
@@ -86,7 +91,8 @@
 // One connection polls; what is to be said goes with the next poll, or by a send of its own meanwhile.
 class EdgeClient::Polling : public Way, public std::enable_shared_from_this<Polling> {
  public:
-  explicit Polling(EdgeClient& client) : client_(client), alive_(client.alive_), stream_(client.io_), side_(client.io_) {}
+  explicit Polling(EdgeClient& client)
+      : client_(client), alive_(client.alive_), stream_(client.io_), side_(client.io_) {}
 
   void run() {
     stream_.async_connect(client_.to_, [self = shared_from_this()](error_code error) {
@@ -106,7 +112,8 @@
 
  private:
   using Response = http::response_parser<http::string_body>;
-  static std::shared_ptr<http::request<http::string_body>> post(const std::string& path, const Envelope& envelope) {
+  static std::shared_ptr<http::request<http::string_body>> post(const std::string& path,
+                                                                const Envelope& envelope) {
     auto request = std::make_shared<http::request<http::string_body>>(http::verb::post, path, 11);
     request->set(http::field::host, "edge");
     request->set(http::field::content_type, "application/json");
@@ -131,7 +138,8 @@
   bool take(const http::response<http::string_body>& response) {
     Envelope envelope;
     std::string why;
-    if (response.result() != http::status::ok || !decode(response.body(), Format::kJson, envelope, why)) return false;
+    if (response.result() != http::status::ok || !decode(response.body(), Format::kJson, envelope, why))
+      return false;
     if (link_.empty()) link_ = envelope.link;
     for (const Frame& frame : envelope.frames) {
       if (gone_) break;
@@ -154,11 +162,13 @@
     http::async_write(side_, *request, [self = shared_from_this(), request](error_code error, std::size_t) {
       if (error) return self->lost();
       self->side_response_.emplace();
-      http::async_read(self->side_, self->side_buffer_, *self->side_response_, [self](error_code e, std::size_t) {
-        self->sending_ = false;
-        if (e || !*self->alive_ || self->side_response_->get().result() != http::status::ok) return self->lost();
-        self->send();
-      });
+      http::async_read(self->side_, self->side_buffer_, *self->side_response_,
+                       [self](error_code e, std::size_t) {
+                         self->sending_ = false;
+                         if (e || !*self->alive_ || self->side_response_->get().result() != http::status::ok)
+                           return self->lost();
+                         self->send();
+                       });
     });
   }
   void lost() {
@@ -185,7 +195,8 @@
 }
 
 std::chrono::microseconds EdgeClient::now() {
-  return std::chrono::duration_cast<std::chrono::microseconds>(std::chrono::steady_clock::now().time_since_epoch());
+  return std::chrono::duration_cast<std::chrono::microseconds>(
+      std::chrono::steady_clock::now().time_since_epoch());
 }
 
 void EdgeClient::connect() {
@@ -199,7 +210,8 @@
     polling->say({hello});
     polling->run();
   } else {
-    const auto socket = std::make_shared<Socket>(*this, by_ == By::kWebSocketCbor ? Format::kCbor : Format::kJson);
+    const auto socket =
+        std::make_shared<Socket>(*this, by_ == By::kWebSocketCbor ? Format::kCbor : Format::kJson);
     way_ = socket;
     socket->say({hello});
     socket->run();
--- a/standins/edge_client.h
+++ b/standins/edge_client.h
@@ -1,5 +1,5 @@
-// A stand-in device over real links: the session logic of device.h behind a WebSocket or a long poll, which comes
-// back by itself when its link is lost.
+// A stand-in device over real links: the session logic of device.h behind a WebSocket or a long poll, which
+// comes back by itself when its link is lost.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,9 +25,9 @@
   void connect();
   // Asks for something; it leaves as soon as there is a session.
   std::uint64_t ask(const std::string& verb, const std::string& statement, std::int64_t limit_ms);
-  void push();      // what the device has to say
-  void drop();      // its link breaks, and it comes back
-  void stop();      // and stays away
+  void push();  // what the device has to say
+  void drop();  // its link breaks, and it comes back
+  void stop();  // and stays away
   void use(By by) { by_ = by; }
   void set_target(const tcp::endpoint& to) { to_ = to; }
   std::size_t connects() const { return connects_; }
