--- a/standins/edge_sim.cpp
+++ b/standins/edge_sim.cpp
@@ -15,7 +15,8 @@
 using namespace edge;
 
 constexpr Micros kMs{1000}, kSecond{1'000'000};
-constexpr Micros kCalm{60 * kSecond};  // from here on links, disk and process hold, so that all can come to an end
+constexpr Micros kCalm{60 *
+                       kSecond};  // from here on links, disk and process hold, so that all can come to an end
 constexpr Micros kEnd{240 * kSecond};
 
 class World {
@@ -67,14 +68,16 @@
     Micros when{0};
     std::uint64_t order{};
     std::shared_ptr<std::function<void()>> what;
-    bool operator>(const Event& other) const { return std::pair(when, order) > std::pair(other.when, other.order); }
+    bool operator>(const Event& other) const {
+      return std::pair(when, order) > std::pair(other.when, other.order);
+    }
   };
   struct Link {
     Link(const std::string& tenant, const std::string& name) : device(tenant, name) {}
     Device device;
-    ConnId conn{0};      // as the device sees it; 0: none
+    ConnId conn{0};  // as the device sees it; 0: none
     Micros mean_hold{0}, delay{0}, last_down{0}, last_up{0};
-    bool hole{false};    // what is sent on it disappears, and neither side is told
+    bool hole{false};  // what is sent on it disappears, and neither side is told
     bool forges{false};
     std::map<std::uint64_t, std::string> expected;  // key -> statement
   };
@@ -122,7 +125,8 @@
     ++life_;
     // Its connections are reset, which devices hear sooner or later.
     for (std::size_t i = 0; i < links_.size(); ++i) {
-      if (links_[i]->conn != 0) at(now_ + links_[i]->delay, [this, i, conn = links_[i]->conn] { lost(static_cast<int>(i), conn); });
+      if (links_[i]->conn != 0)
+        at(now_ + links_[i]->delay, [this, i, conn = links_[i]->conn] { lost(static_cast<int>(i), conn); });
     }
     at(now_ + Micros{50'000 + below(3'000'000)}, [this] {
       note("restart");
@@ -144,7 +148,8 @@
   }
 
   void carry_out(std::vector<Act>& acts) {
-    for (std::size_t i = 0; i < acts.size(); ++i) std::visit([this](const auto& act) { carry(act); }, Act(acts[i]));
+    for (std::size_t i = 0; i < acts.size(); ++i)
+      std::visit([this](const auto& act) { carry(act); }, Act(acts[i]));
     acts.clear();
     wake();
   }
@@ -155,7 +160,8 @@
     if (link.hole) return;
     // In order, as a connection keeps it.
     link.last_down = std::max(link.last_down + Micros{1}, now_ + link.delay + Micros{below(20'000)});
-    at(link.last_down, [this, i = conn->second, id = act.conn, frame = act.frame] { arrive_down(i, id, frame); });
+    at(link.last_down,
+       [this, i = conn->second, id = act.conn, frame = act.frame] { arrive_down(i, id, frame); });
   }
   void carry(const CloseConn& act) {
     const auto conn = conns_.find(act.conn);
@@ -173,7 +179,8 @@
   }
   void carry(const Write& act) {
     ++result_.records;
-    if (o_.record_after_dispatch && act.record.fate == Fate::kDispatched && !act.record.mark && !act.record.erase) {
+    if (o_.record_after_dispatch && act.record.fate == Fate::kDispatched && !act.record.mark &&
+        !act.record.erase) {
       // Broken: it goes on as if the disk had it already.
       pending_.push_back({act.record, false});
       at(now_, [this, record = act.record, life = life_] {
@@ -214,7 +221,8 @@
     });
   }
   void write(const Record& record) {
-    const std::string key = std::to_string(record.key.tenant) + record.key.device + (record.mark ? "#" : "/") +
+    const std::string key = std::to_string(record.key.tenant) + record.key.device +
+                            (record.mark ? "#" : "/") +
                             (record.mark ? "" : std::to_string(record.key.number));
     if (record.erase) {
       disk_.erase(key);
@@ -277,18 +285,21 @@
     });
   }
   static std::string row(const std::string& statement, std::uint64_t number) {
-    return std::to_string(number) + '\t' + statement + '\t' + std::string(static_cast<std::size_t>(number % 97), 'x') + '\n';
+    return std::to_string(number) + '\t' + statement + '\t' +
+           std::string(static_cast<std::size_t>(number % 97), 'x') + '\n';
   }
 
   static std::string shown(const Frame& frame) {
-    static const char* types[] = {"hello", "welcome", "message", "ack", "ping", "pong", "later", "moved", "error", "bye"};
+    static const char* types[] = {"hello", "welcome", "message", "ack",   "ping",
+                                  "pong",  "later",   "moved",   "error", "bye"};
     std::string text = types[static_cast<int>(frame.type)];
     if (frame.type == Frame::Type::kMessage) {
       static const char* kinds[] = {"request", "interrupt", "answer", "rows", "notice"};
       text += ' ' + std::to_string(frame.seq) + ' ' + kinds[static_cast<int>(frame.body.kind)] + " key " +
               std::to_string(frame.body.key) + ' ' + frame.body.code;
       if (frame.body.kind == Body::Kind::kRows)
-        text += " row " + std::to_string(frame.body.row) + '+' + std::to_string(frame.body.count) + (frame.body.last ? " last" : "");
+        text += " row " + std::to_string(frame.body.row) + '+' + std::to_string(frame.body.count) +
+                (frame.body.last ? " last" : "");
     }
     return text + " have " + std::to_string(frame.have) + ' ' + frame.code;
   }
@@ -308,7 +319,8 @@
     wake();
     say(i, link.device.hello(now_));
     if (now_ < kCalm) {
-      const Micros hold{static_cast<std::int64_t>(below(static_cast<std::uint32_t>(2 * link.mean_hold.count())))};
+      const Micros hold{
+          static_cast<std::int64_t>(below(static_cast<std::uint32_t>(2 * link.mean_hold.count())))};
       at(now_ + hold, [this, i, conn] { fail(i, conn); });
     }
   }
@@ -389,14 +401,16 @@
   void say(int i, Frame frame) {
     Link& link = *links_[static_cast<std::size_t>(i)];
     if (link.conn == 0 || link.hole) return;
-    if (link.forges && now_ < kCalm && frame.type == Frame::Type::kAck && below(10) == 0) frame.have += 1 + below(5);
+    if (link.forges && now_ < kCalm && frame.type == Frame::Type::kAck && below(10) == 0)
+      frame.have += 1 + below(5);
     link.last_up = std::max(link.last_up + Micros{1}, now_ + link.delay + Micros{below(20'000)});
     at(link.last_up, [this, conn = link.conn, frame] { arrive_up(conn, frame); });
   }
   void arrive_up(ConnId conn, Frame frame) {
     if (!edge_ || !conns_.contains(conn)) return;
     note("up " + shown(frame) + " of " + links_[static_cast<std::size_t>(conns_.at(conn))]->device.name());
-    if (o_.ignore_incarnation && frame.body.kind == Body::Kind::kRequest) frame.body.first = incarnations_.back();
+    if (o_.ignore_incarnation && frame.body.kind == Body::Kind::kRequest)
+      frame.body.first = incarnations_.back();
     if (o_.trust_acknowledgements && frame.type == Frame::Type::kAck) {
       // Broken: whatever the device says it has is taken for true, as far as there is anything.
       const auto sent = last_sent_.find(conn);
@@ -406,7 +420,8 @@
     edge_->heard(conn, frame, now_, acts);
     for (const Act& act : acts) {
       const auto* down = std::get_if<ToDevice>(&act);
-      if (down != nullptr && down->frame.type == Frame::Type::kMessage) last_sent_[down->conn] = down->frame.seq + 1;
+      if (down != nullptr && down->frame.type == Frame::Type::kMessage)
+        last_sent_[down->conn] = down->frame.seq + 1;
     }
     carry_out(acts);
   }
@@ -432,8 +447,10 @@
     if (!edge_) return;
     // One page for each tenant may go beyond, or nothing would move; a row may be longer than a page.
     const std::uint64_t most = settings_.memory.most + 2 * (settings_.page_most + 200);
-    if (edge_->memory().used() > most) fault("memory: " + std::to_string(edge_->memory().used()) + " bytes on their way");
-    if (edge_->sessions() > static_cast<std::size_t>(o_.devices) * settings_.sessions_device) fault("too many sessions");
+    if (edge_->memory().used() > most)
+      fault("memory: " + std::to_string(edge_->memory().used()) + " bytes on their way");
+    if (edge_->sessions() > static_cast<std::size_t>(o_.devices) * settings_.sessions_device)
+      fault("too many sessions");
   }
   void check() {
     for (const auto& link : links_) {
@@ -456,7 +473,8 @@
           std::string all;
           for (std::uint64_t n = 0; n < request.have_rows; ++n) all += row(statement, n);
           if (request.rows != all) fault(statement + ": rows that are not its own");
-          if (request.code.empty() && request.have_rows != request.outcome.rows) fault(statement + ": rows are missing");
+          if (request.code.empty() && request.have_rows != request.outcome.rows)
+            fault(statement + ": rows are missing");
         }
         if (load && request.outcome.how == Outcome::How::kRefused && runs > 0)
           fault(statement + ": refused, though it ran");
--- a/standins/engine.cpp
+++ b/standins/engine.cpp
@@ -163,8 +163,8 @@
     if (at == works_.end()) return;
     if (!suffer(fault(Moment::At::kAck, id, at->second.run, 0), id)) return;
     const std::string& first = at->second.pages.front();
-    say(id + " ACK count=" + std::to_string(at->second.pages.size()) + ' ' + std::to_string(first.size()) + "\r\n" +
-        first + "\r\n");
+    say(id + " ACK count=" + std::to_string(at->second.pages.size()) + ' ' + std::to_string(first.size()) +
+        "\r\n" + first + "\r\n");
     read_one(at);
   }
 
@@ -173,7 +173,8 @@
     if (at == works_.end() || number >= at->second.pages.size()) return say(id + " EIO - 0\r\n\r\n");
     if (!suffer(fault(Moment::At::kPage, id, at->second.run, number), id)) return;
     const std::string& bytes = at->second.pages[number];
-    say(id + " BLOCK pos=" + std::to_string(number) + ' ' + std::to_string(bytes.size()) + "\r\n" + bytes + "\r\n");
+    say(id + " BLOCK pos=" + std::to_string(number) + ' ' + std::to_string(bytes.size()) + "\r\n" + bytes +
+        "\r\n");
     read_one(at);
   }
 
--- a/standins/engine.h
+++ b/standins/engine.h
@@ -50,7 +50,8 @@
   bool open{true};
 };
 
-// The text of a result: the same for every run of an id, with the run in each row where runs must be told apart.
+// The text of a result: the same for every run of an id, with the run in each row where runs must be told
+// apart.
 std::vector<std::string> make_pages(const Script& script, const std::string& id, int run);
 std::string whole(const Script& script, const std::string& id, int run);
 
--- a/standins/faulty_disk.cpp
+++ b/standins/faulty_disk.cpp
@@ -60,7 +60,8 @@
   std::unique_ptr<spool::File> create(const std::string& name) override {
     using Fault = FaultyDisk::Fault;
     const Fault fault = disk_.operate();
-    if (disk_.no_descriptors_ || fault == Fault::kEio || fault == Fault::kNoSpace || fault == Fault::kShortWrite)
+    if (disk_.no_descriptors_ || fault == Fault::kEio || fault == Fault::kNoSpace ||
+        fault == Fault::kShortWrite)
       return nullptr;
     if (!disk_.now_.emplace(name, "").second) return nullptr;
     if (fault == Fault::kDieWithin || fault == Fault::kDieAfter) throw FaultyDisk::Died{};
--- a/standins/faulty_disk.h
+++ b/standins/faulty_disk.h
@@ -1,5 +1,6 @@
 // A disk in memory that fails on request: at the n-th operation, in the way that is asked for. What a crash
-// leaves of it can be taken over by the next process, with or without what the kernel had not yet written out.
+// leaves of it can be taken over by the next process, with or without what the kernel had not yet written
+// out.
 #pragma once
 
 #include <map>
@@ -50,8 +51,8 @@
   // The fault of this operation; counts it.
   Fault operate(bool is_sync = false);
 
-  std::map<std::string, std::string> now_;      // name -> what the kernel has
-  std::map<std::string, std::string> synced_;   // name -> what the disk has
+  std::map<std::string, std::string> now_;     // name -> what the kernel has
+  std::map<std::string, std::string> synced_;  // name -> what the disk has
   std::set<std::string> names_synced_;
   std::map<std::uint64_t, std::string> entries_;
   std::size_t count_{0}, at_{0}, writes_after_{0};
--- a/standins/lab.cpp
+++ b/standins/lab.cpp
@@ -1,5 +1,5 @@
-// The stand-ins behind one program, for an operator's hands: a stand-in engine, a reader at a pace of its own,
-// and a demonstration of the main job with nothing else needed.
+// The stand-ins behind one program, for an operator's hands: a stand-in engine, a reader at a pace of its
+// own, and a demonstration of the main job with nothing else needed.
 #include <CLI/CLI.hpp>
 #include <iostream>
 #include <thread>
@@ -38,8 +38,8 @@
   const std::string small = "00000000000000c3";
   client->call("execute", 2, request(small, "lookup"), "select name from pupils_3.list");
   const auto served = site.reply(*client);
-  std::cout << "lookup over the platform's service, three rows: " << (served && served->field == 0 ? "served" : "failed")
-            << "\n"
+  std::cout << "lookup over the platform's service, three rows: "
+            << (served && served->field == 0 ? "served" : "failed") << "\n"
             << (served ? served->body : "");
   const auto start = steady_clock::now();
   auto reader = site.reader();
@@ -47,8 +47,9 @@
   const auto opened = site.reply(*reader);
   if (!opened || opened->field != 0) return std::cout << "the report was not served\n", 1;
   site.until([&] { return site.open_sessions() == 0; });
-  std::cout << "report of " << opened->at("rows") << " rows, " << opened->at("bytes") << " bytes: complete after "
-            << static_cast<int>(ms_since(start)) << " ms, no engine's session is open any more\n";
+  std::cout << "report of " << opened->at("rows") << " rows, " << opened->at("bytes")
+            << " bytes: complete after " << static_cast<int>(ms_since(start))
+            << " ms, no engine's session is open any more\n";
   std::string all = opened->body;
   std::uint64_t row = std::stoull(opened->at("got"));
   bool last = opened->at("last") == "1", dropped = false;
@@ -64,9 +65,11 @@
       const auto again = site.reply(*reader);
       if (!again || again->field != 0) return std::cout << "not resumed\n", 1;
     }
-    reader->call("fetch", call++, {{"handle", handle}, {"team", "acme"}, {"row", std::to_string(row)}, {"window", "65536"}});
+    reader->call("fetch", call++,
+                 {{"handle", handle}, {"team", "acme"}, {"row", std::to_string(row)}, {"window", "65536"}});
     const auto part = site.reply(*reader);
-    if (!part || part->field != 0) return std::cout << "not fetched: " << (part ? part->at("code") : "closed") << "\n", 1;
+    if (!part || part->field != 0)
+      return std::cout << "not fetched: " << (part ? part->at("code") : "closed") << "\n", 1;
     all += part->body;
     row += std::stoull(part->at("got"));
     last = part->at("last") == "1";
@@ -74,9 +77,10 @@
   reader->call("acknowledge", call++, {{"handle", handle}, {"team", "acme"}, {"rows", std::to_string(row)}});
   site.reply(*reader);
   const bool same = all == whole(*site.script, report, 1);
-  std::cout << "all " << row << " rows are here, " << (same ? "byte-identical" : "NOT as the engine made them")
-            << ", the report ran " << site.runs(report) << " time(s), bytes left in the spool: "
-            << site.server->spool()->bytes_held() << "\n";
+  std::cout << "all " << row << " rows are here, "
+            << (same ? "byte-identical" : "NOT as the engine made them") << ", the report ran "
+            << site.runs(report)
+            << " time(s), bytes left in the spool: " << site.server->spool()->bytes_held() << "\n";
   return same && site.server->spool()->bytes_held() == 0 ? 0 : 1;
 }
 
@@ -94,18 +98,20 @@
   for (; seeds > 0; --seeds, ++options.seed) {
     const SimResult result = simulate(options);
     for (const std::string& line : result.history) std::cout << line << '\n';
-    for (const std::string& fault : result.faults) std::cout << "seed " << options.seed << ": " << fault << '\n';
+    for (const std::string& fault : result.faults)
+      std::cout << "seed " << options.seed << ": " << fault << '\n';
     bad += !result.faults.empty();
     requests += result.requests, answers += result.answers, twice += result.loads_run_twice;
     unknown += result.unknown, loads += result.loads, crashes += result.crashes, cuts += result.cuts;
   }
   std::cout << requests << " requests, " << answers << " final answers, " << loads << " loads, " << twice
-            << " run twice, " << unknown << " unknown; " << crashes << " crashes, " << cuts << " cuts; " << bad
-            << " seeds with faults\n";
+            << " run twice, " << unknown << " unknown; " << crashes << " crashes, " << cuts << " cuts; "
+            << bad << " seeds with faults\n";
   return bad == 0 ? 0 : 1;
 }
 
-int read_slowly(const std::string& address, const Fields& fields, const std::string& statement, std::size_t pace) {
+int read_slowly(const std::string& address, const Fields& fields, const std::string& statement,
+                std::size_t pace) {
   const auto to = parse_address(address);
   if (!to) return std::cerr << "no address: " << address << '\n', 1;
   boost::asio::io_context io;
@@ -119,18 +125,22 @@
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
       if (reader.received() / 100000 > told) {
         told = reader.received() / 100000;
-        std::cout << "  " << reader.received() << " bytes after " << static_cast<int>(ms_since(start)) << " ms\n";
+        std::cout << "  " << reader.received() << " bytes after " << static_cast<int>(ms_since(start))
+                  << " ms\n";
       }
     }
   };
   reader.call("submit", 1, fields, statement);
   auto reply = wait();
-  if (!reply || reply->field != 0) return std::cout << (reply ? reply->at("code") + ": " + reply->at("reason") : "closed") << '\n', 1;
+  if (!reply || reply->field != 0)
+    return std::cout << (reply ? reply->at("code") + ": " + reply->at("reason") : "closed") << '\n', 1;
   const std::string handle = reply->at("handle");
   std::uint64_t row = std::stoull(reply->at("got"));
   std::cout << reply->at("rows") << " rows, handle " << handle << '\n';
   for (int call = 2; reply->at("last") != "1"; ++call) {
-    reader.call("fetch", call, {{"handle", handle}, {"team", fields.at("team")}, {"row", std::to_string(row)}, {"window", "65536"}});
+    reader.call(
+        "fetch", call,
+        {{"handle", handle}, {"team", fields.at("team")}, {"row", std::to_string(row)}, {"window", "65536"}});
     reply = wait();
     if (!reply || reply->field != 0) return std::cout << (reply ? reply->at("code") : "closed") << '\n', 1;
     row += std::stoull(reply->at("got"));
@@ -144,7 +154,8 @@
 int main(int argc, char** argv) {
   CLI::App app{"steprail_lab: stand-ins on loopback for a coordinator's surroundings"};
   app.require_subcommand(1);
-  CLI::App* demonstration = app.add_subcommand("demo", "a query and a long report, answered before your eyes");
+  CLI::App* demonstration =
+      app.add_subcommand("demo", "a query and a long report, answered before your eyes");
   CLI::App* engine = app.add_subcommand("engine", "a stand-in engine");
   Script script;
   int seconds = 60, runs_ms = 0;
@@ -152,7 +163,8 @@
   engine->add_option("--row-bytes", script.row_bytes, "bytes of each row");
   engine->add_option("--runs-ms", runs_ms, "how long each query runs");
   engine->add_option("--seconds", seconds, "ends after so long")->check(CLI::Range(1, 3600));
-  CLI::App* sim = app.add_subcommand("edge-sim", "devices, bad links and crashes in virtual time; one seed, one history");
+  CLI::App* sim =
+      app.add_subcommand("edge-sim", "devices, bad links and crashes in virtual time; one seed, one history");
   SimOptions options;
   std::uint64_t seeds = 1;
   bool memory = false;
@@ -166,7 +178,8 @@
   sim->add_flag("--ignore-incarnation", options.ignore_incarnation, "broken on purpose; with --memory");
   sim->add_flag("--trace", options.trace, "print the history");
   CLI::App* reader = app.add_subcommand("reader", "a reader of the spool's service, at a pace of its own");
-  std::string address, id = "00000000000000d4", team = "acme", verb = "report", statement = "select 1 from a_1.t";
+  std::string address, id = "00000000000000d4", team = "acme", verb = "report",
+                       statement = "select 1 from a_1.t";
   std::size_t pace = 100000;
   int limit = 15000;
   reader->add_option("address", address, "the spool's listener")->required();
--- a/standins/proxy.cpp
+++ b/standins/proxy.cpp
@@ -13,7 +13,8 @@
   pcg32 random(seed);
   LinkScript script;
   if (roughness == 0) return script;
-  script.up.delay = script.down.delay = std::chrono::milliseconds(random(5 * static_cast<std::uint32_t>(roughness)));
+  script.up.delay = script.down.delay =
+      std::chrono::milliseconds(random(5 * static_cast<std::uint32_t>(roughness)));
   script.down.rate = 2'000'000 >> (2 * roughness);
   const std::uint32_t typical = 200'000 >> (2 * roughness);
   LinkScript::Way& way = random(3) == 0 ? script.up : script.down;
@@ -28,7 +29,11 @@
 class Proxy::Pair : public std::enable_shared_from_this<Pair> {
  public:
   Pair(Proxy& proxy, tcp::socket client, LinkScript script)
-      : proxy_(proxy), alive_(proxy.alive_), client_(std::move(client)), server_(proxy.io_), script_(script) {}
+      : proxy_(proxy),
+        alive_(proxy.alive_),
+        client_(std::move(client)),
+        server_(proxy.io_),
+        script_(script) {}
 
   void run() {
     server_.async_connect(proxy_.to_, [self = shared_from_this()](error_code error) {
@@ -52,23 +57,24 @@
   void pump(bool up) {
     tcp::socket& from = up ? client_ : server_;
     auto buffer = std::make_shared<std::vector<char>>(4096);
-    from.async_read_some(asio::buffer(*buffer), [self = shared_from_this(), up, buffer](error_code error, std::size_t count) {
-      if (!*self->alive_) return;
-      tcp::socket& to = up ? self->server_ : self->client_;
-      if (error) {
-        if (self->hole_) return;
-        // As it ended on the one side it ends on the other.
-        error_code ignored;
-        if (error == asio::error::eof) {
-          to.shutdown(tcp::socket::shutdown_send, ignored);
-        } else {
-          self->reset();
-        }
-        return;
-      }
-      buffer->resize(count);
-      self->passed(up, buffer, 0);
-    });
+    from.async_read_some(asio::buffer(*buffer),
+                         [self = shared_from_this(), up, buffer](error_code error, std::size_t count) {
+                           if (!*self->alive_) return;
+                           tcp::socket& to = up ? self->server_ : self->client_;
+                           if (error) {
+                             if (self->hole_) return;
+                             // As it ended on the one side it ends on the other.
+                             error_code ignored;
+                             if (error == asio::error::eof) {
+                               to.shutdown(tcp::socket::shutdown_send, ignored);
+                             } else {
+                               self->reset();
+                             }
+                             return;
+                           }
+                           buffer->resize(count);
+                           self->passed(up, buffer, 0);
+                         });
   }
 
   void passed(bool up, const std::shared_ptr<std::vector<char>>& bytes, std::size_t from) {
@@ -88,12 +94,13 @@
       tcp::socket& to = up ? self->server_ : self->client_;
       (up ? self->up_ : self->down_) += size;
       (up ? self->proxy_.up_ : self->proxy_.down_) += size;
-      asio::async_write(to, asio::buffer(bytes->data() + from, size), [self, up, bytes, from, size, event](error_code error, std::size_t) {
-        if (!*self->alive_) return;
-        if (error) return self->reset();
-        if (event) return self->happen(up, bytes, from + size);
-        self->pump(up);
-      });
+      asio::async_write(to, asio::buffer(bytes->data() + from, size),
+                        [self, up, bytes, from, size, event](error_code error, std::size_t) {
+                          if (!*self->alive_) return;
+                          if (error) return self->reset();
+                          if (event) return self->happen(up, bytes, from + size);
+                          self->pump(up);
+                        });
     };
     if (wait.count() == 0) return deliver();
     auto timer = std::make_shared<asio::steady_timer>(proxy_.io_, wait);
--- a/standins/proxy.h
+++ b/standins/proxy.h
@@ -1,5 +1,5 @@
-// A stand-in for a link: a loopback proxy that delays, slows, stalls, cuts, half-closes or swallows what passes, as
-// a script says for each connection, or as a seed draws it.
+// A stand-in for a link: a loopback proxy that delays, slows, stalls, cuts, half-closes or swallows what
+// passes, as a script says for each connection, or as a seed draws it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -45,8 +45,8 @@
   tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
   void set_target(const tcp::endpoint& to) { to_ = to; }
   std::size_t connections() const { return count_; }
-  // Every connection that is open now swallows everything, both ways, once so many more bytes have come down. What has
-  // come down until then varies: a welcome's seal is random, and compressed.
+  // Every connection that is open now swallows everything, both ways, once so many more bytes have come down.
+  // What has come down until then varies: a welcome's seal is random, and compressed.
   void hole_after(std::uint64_t more);
   std::uint64_t bytes_up() const { return up_; }
   std::uint64_t bytes_down() const { return down_; }
--- a/standins/route_world.h
+++ b/standins/route_world.h
@@ -1,5 +1,5 @@
-// A stand-in world for the decision module under a route's figures: engines that answer as they are told to, in
-// virtual time.
+// A stand-in world for the decision module under a route's figures: engines that answer as they are told to,
+// in virtual time.
 #pragma once
 
 #include <functional>
@@ -29,7 +29,8 @@
     return s;
   }
 
-  explicit RouteWorld(RouteFigures figures, std::vector<bool> pool = {}, int engines = 4, Settings s = usual())
+  explicit RouteWorld(RouteFigures figures, std::vector<bool> pool = {}, int engines = 4,
+                      Settings s = usual())
       : gateway_(7, s), limit_(s.classes[0].hard_limit) {
     feed(Started{});
     ListNews list{ListMode::kFull, {}};
@@ -93,7 +94,8 @@
         if (send->patience.count() > 0) patience = std::min(patience, send->patience);
         const Fate ends = fate(attempt);
         const bool by_itself = ends && ends->second <= patience;
-        end(send->id, attempt, send->engine, by_itself ? ends->first : Outcome::kExpired, by_itself ? ends->second : patience);
+        end(send->id, attempt, send->engine, by_itself ? ends->first : Outcome::kExpired,
+            by_itself ? ends->second : patience);
       } else if (const auto* terms = std::get_if<Terms>(&action)) {
         told[terms->id].priority = terms->priority, told[terms->id].memory_mb = terms->memory_mb;
       } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
@@ -116,7 +118,8 @@
       --one.out;
       if (outcome == Outcome::kDelivered && !one.ended) one.ended = now_, one.served = true, ++one.answers;
       Closed closed;
-      closed.id = id, closed.attempt = attempt, closed.engine = engine, closed.outcome = outcome, closed.delay = after;
+      closed.id = id, closed.attempt = attempt, closed.engine = engine, closed.outcome = outcome,
+      closed.delay = after;
       closed.ended = one.ended.has_value();
       feed(closed);
     });
--- a/standins/site.cpp
+++ b/standins/site.cpp
@@ -56,7 +56,8 @@
       {"known",
        {{"index", 1},
         {"updates",
-         {{{"index", 1}, {"endpoints", {{"index", 1}, {"snapshot", true}, {"endpoints", std::move(rows)}}}}}}}},
+         {{{"index", 1},
+           {"endpoints", {{"index", 1}, {"snapshot", true}, {"endpoints", std::move(rows)}}}}}}}},
       {"settings",
        {{"balancers", 1},
         {"rank", 0},
@@ -88,7 +89,8 @@
   server.reset();
   server = std::make_unique<Server>(read_config(folder.path("config.json")),
                                     has_conf_ ? read_operator(folder.path("steprail.conf")) : OperatorConf{},
-                                    substitutes_ ? substitutes_() : spool::Substitutes{}, ledger_ ? ledger_() : nullptr);
+                                    substitutes_ ? substitutes_() : spool::Substitutes{},
+                                    ledger_ ? ledger_() : nullptr);
   server->start();
 }
 
@@ -108,7 +110,8 @@
     if (server && !server->io().stopped()) done += server->io().poll();
     if (io.stopped()) io.restart();
     // Nothing was ready: waits for the first thing that will be, though not long.
-    if (done == 0 && server && !server->io().stopped()) server->io().run_one_for(std::chrono::microseconds(200));
+    if (done == 0 && server && !server->io().stopped())
+      server->io().run_one_for(std::chrono::microseconds(200));
   } while (std::chrono::steady_clock::now() < end);
 }
 
--- a/tests/base/logic_test.cpp
+++ b/tests/base/logic_test.cpp
@@ -1,11 +1,11 @@
 // The timing wheel against a sorted list, and the log that nobody reads.
 #include <fcntl.h>
+#include <rapidcheck/catch.h>
 #include <unistd.h>
 
 #include <catch2/catch.hpp>
 #include <map>
 #include <nlohmann/json.hpp>
-#include <rapidcheck/catch.h>
 #include <set>
 
 #include "base/backoff.h"
@@ -47,7 +47,8 @@
       if (step < 5) {
         // Near, far, past and beyond the wheel's reach alike.
         const int scale = *rc::gen::inRange(0, 50);
-        const std::int64_t due = now - 2000 + *rc::gen::inRange<std::int64_t>(0, 1 + (std::int64_t{1} << scale));
+        const std::int64_t due =
+            now - 2000 + *rc::gen::inRange<std::int64_t>(0, 1 + (std::int64_t{1} << scale));
         const std::uint64_t key = next_key++;
         const std::int64_t tick = std::max((due + kTick - 1) / kTick, now / kTick + 1);
         live[key] = {wheel.schedule(Micros{due}, key), tick};
@@ -174,7 +175,8 @@
   CHECK(std::is_sorted(done.begin(), done.end()));
 }
 
-// Guards against hundreds of coordinators that lose the directory together and come back together, try after try.
+// Guards against hundreds of coordinators that lose the directory together and come back together, try after
+// try.
 TEST_CASE("three hundred that lose the same peer at once come back spread over the whole pause") {
   using std::chrono::milliseconds;
   for (int tries = 1; tries <= 4; ++tries) {
--- a/tests/conf/conf_test.cpp
+++ b/tests/conf/conf_test.cpp
@@ -74,7 +74,8 @@
   CHECK(read.text.find("s.conf:8:12: '99' is out of range: 1 to 19") != std::string::npos);
   CHECK(read.text.find("s.conf:9:8: 'relative' is not a path") != std::string::npos);
   CHECK(read.text.find("s.conf:10:14: 'sessions' ends before this") != std::string::npos);
-  CHECK(read.text.find("s.conf:11:13: 'hihg' is no word of memory; did you mean 'high'?") != std::string::npos);
+  CHECK(read.text.find("s.conf:11:13: 'hihg' is no word of memory; did you mean 'high'?") !=
+        std::string::npos);
   CHECK(read.text.find("s.conf:12:11: this character can stand in \"quotes\" only") != std::string::npos);
   CHECK(read.text.find("s.conf:13:13: quoted text does not end") != std::string::npos);
   CHECK(read.text.find("s.conf:3:1: block 'spool' is not closed") != std::string::npos);
--- a/tests/edge/logic_test.cpp
+++ b/tests/edge/logic_test.cpp
@@ -1,7 +1,8 @@
 // The edge's decisions: numbered messages, gate, ledger and sessions, against plain models and in simulation.
+#include <rapidcheck/catch.h>
+
 #include <catch2/catch.hpp>
 #include <deque>
-#include <rapidcheck/catch.h>
 #include <set>
 
 #include "edge/logic/edge_logic.h"
@@ -31,7 +32,8 @@
 
 }  // namespace
 
-TEST_CASE("edge: a channel gives each message once and in order over any cuts, across the wrap of its numbers") {
+TEST_CASE(
+    "edge: a channel gives each message once and in order over any cuts, across the wrap of its numbers") {
   rc::prop("random cuts, losses and repeats", [] {
     const auto first = *rc::gen::element<Seq>(1u, 0u, 0xfffffff0u, 0x7ffffff5u);
     Channel<int> a(first), b(first);
@@ -88,7 +90,8 @@
     const auto most = *rc::gen::inRange<std::size_t>(1, 6);
     for (const int step : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 600))) {
       ++now;
-      const auto at = plain.empty() ? plain.end() : plain.begin() + (step / 6) % static_cast<int>(plain.size());
+      const auto at =
+          plain.empty() ? plain.end() : plain.begin() + (step / 6) % static_cast<int>(plain.size());
       switch (step % 6) {
         case 0:
         case 1: {
@@ -129,8 +132,9 @@
           break;
         default: {
           const auto silent = links.silent(Micros{now}, Micros{20});
-          RC_ASSERT(silent.size() == static_cast<std::size_t>(std::count_if(
-                                         plain.begin(), plain.end(), [&](const Plain& p) { return now - p.heard > 20; })));
+          RC_ASSERT(silent.size() ==
+                    static_cast<std::size_t>(std::count_if(
+                        plain.begin(), plain.end(), [&](const Plain& p) { return now - p.heard > 20; })));
           for (const std::string& name : silent) {
             links.erase(name);
             std::erase_if(plain, [&](const Plain& p) { return p.name == name; });
@@ -233,13 +237,15 @@
   void start() {
     incarnations.push_back(incarnations.size() + 1);
     ledger = std::make_unique<LedgerLogic>(
-        settings, settings.durable ? incarnations : std::vector<std::uint64_t>{incarnations.back()}, now, now.count());
+        settings, settings.durable ? incarnations : std::vector<std::uint64_t>{incarnations.back()}, now,
+        now.count());
     std::vector<Record> out;
     for (const auto& [_, record] : disk) ledger->recover(record, out);
     for (const Record& record : out) put(record);
   }
   void put(const Record& record) {
-    const std::string key = std::to_string(record.mark) + "/" + std::to_string(record.mark ? 0 : record.key.number);
+    const std::string key =
+        std::to_string(record.mark) + "/" + std::to_string(record.mark ? 0 : record.key.number);
     if (record.erase) {
       disk.erase(key);
     } else {
@@ -378,7 +384,8 @@
     options.seed = seed;
     options.durable = seed % 4 != 0;
     const SimResult result = simulate(options);
-    INFO("steprail_lab edge-sim --seed " << seed << (options.durable ? "" : " --memory") << '\n' << shown(result));
+    INFO("steprail_lab edge-sim --seed " << seed << (options.durable ? "" : " --memory") << '\n'
+                                         << shown(result));
     REQUIRE(result.faults.empty());
     REQUIRE(result.answers == result.requests);
     requests += result.requests, unknown += result.unknown, crashes += result.crashes, cuts += result.cuts;
@@ -439,11 +446,15 @@
     for (std::size_t i = 0; i < acts.size(); ++i) {
       const Act act = acts[i];
       if (const auto* submit = std::get_if<Submit>(&act)) {
-        logic.answered(submit->request, {Outcome::How::kServed, false, Micros{0}, submit->request, kRows, kRows * kRow}, now, acts);
+        logic.answered(submit->request,
+                       {Outcome::How::kServed, false, Micros{0}, submit->request, kRows, kRows * kRow}, now,
+                       acts);
       } else if (const auto* fetch = std::get_if<Fetch>(&act)) {
-        const std::uint64_t count = std::min<std::uint64_t>(std::max<std::uint64_t>(1, fetch->bytes / kRow), kRows - fetch->row);
+        const std::uint64_t count =
+            std::min<std::uint64_t>(std::max<std::uint64_t>(1, fetch->bytes / kRow), kRows - fetch->row);
         logic.rows({fetch->session, fetch->request, fetch->row, count,
-                    std::make_shared<const std::string>(count * kRow, 'r'), fetch->row + count == kRows}, now, acts);
+                    std::make_shared<const std::string>(count * kRow, 'r'), fetch->row + count == kRows},
+                   now, acts);
       } else if (const auto* down = std::get_if<ToDevice>(&act)) {
         if (down->frame.type == Frame::Type::kMessage) {
           have[down->conn] = down->frame.seq + 1;
@@ -495,7 +506,8 @@
 }
 
 // Guards against a replay window that grows with every refusal to a device that acknowledges none.
-// Guards against a device's only session leaving its place in a table that is still being read (sanitizers see it).
+// Guards against a device's only session leaving its place in a table that is still being read (sanitizers
+// see it).
 TEST_CASE("edge: where a device may have one session, each new one takes the place of the one before") {
   EdgeSettings settings;
   settings.sessions_device = 1;
--- a/tests/edge/story_test.cpp
+++ b/tests/edge/story_test.cpp
@@ -23,8 +23,10 @@
   Site::Options options;
   options.script->rows = 300;
   options.script->row_bytes = 100;
-  options.conf = "spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n}\n"
-                 "edge {\n  listen 127.0.0.1:0\n  home one\n  rate 100000\n  burst 1000\n" + more + "}\n";
+  options.conf =
+      "spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n}\n"
+      "edge {\n  listen 127.0.0.1:0\n  home one\n  rate 100000\n  burst 1000\n" +
+      more + "}\n";
   return options;
 }
 
@@ -49,7 +51,9 @@
   for (const auto& [_, runs] : *site.run_counts) sum += runs;
   return sum;
 }
-std::string last_id(const Site& site) { return site.run_counts->empty() ? "" : site.run_counts->rbegin()->first; }
+std::string last_id(const Site& site) {
+  return site.run_counts->empty() ? "" : site.run_counts->rbegin()->first;
+}
 
 }  // namespace
 
@@ -70,7 +74,8 @@
   }
 }
 
-TEST_CASE("edge: cut at every byte of a load's request and of its answer, it runs once and is answered once") {
+TEST_CASE(
+    "edge: cut at every byte of a load's request and of its answer, it runs once and is answered once") {
   Site::Options o = options("  connections 1000\n");
   o.engines = 4;
   o.change = [](nlohmann::json& config) { config["limits"]["sockets"] = 4096; };
@@ -104,11 +109,12 @@
       const std::size_t to = std::min(cuts.size(), from + kAtATime);
       for (std::size_t i = from; i < to; ++i) {
         const auto [at, upward] = cuts[i];
-        proxies.push_back(std::make_unique<Proxy>(site.io, site.server->edge_endpoint(), [at = at, upward = upward](std::size_t n) {
-          LinkScript script;
-          if (n == 0) (upward ? script.up : script.down).at = at;
-          return script;
-        }));
+        proxies.push_back(std::make_unique<Proxy>(site.io, site.server->edge_endpoint(),
+                                                  [at = at, upward = upward](std::size_t n) {
+                                                    LinkScript script;
+                                                    if (n == 0) (upward ? script.up : script.down).at = at;
+                                                    return script;
+                                                  }));
         tablets.push_back(std::make_unique<Tablet>(
             site, "tablet" + std::to_string(i) + "by" + std::to_string(static_cast<int>(by)), by));
         tablets.back()->client.set_target(proxies.back()->endpoint());
@@ -148,7 +154,8 @@
   CHECK(site.server->edge()->logic().counts().answers == 60);
 }
 
-TEST_CASE("edge: a stall longer than the give-up time ends the request once, and the device hears of it later") {
+TEST_CASE(
+    "edge: a stall longer than the give-up time ends the request once, and the device hears of it later") {
   Site::Options o = options("  heartbeat-least 200ms\n  heartbeat-most 1s\n");
   o.script->fault = [](const Moment& m) { return m.at == Moment::At::kAck ? Fault::kSilent : Fault::kNone; };
   Site site(o);
@@ -169,7 +176,9 @@
 }
 
 // The device's own patience plays no part here: it would wait for longer than the story lasts.
-TEST_CASE("edge: a link that swallows everything is given up by the edge's own suspicion, and its rows' memory comes back") {
+TEST_CASE(
+    "edge: a link that swallows everything is given up by the edge's own suspicion, and its rows' memory "
+    "comes back") {
   Site::Options o = options("  heartbeat-least 100ms\n  heartbeat-most 300ms\n");
   o.script->runs_for = milliseconds(200);
   o.script->rows = 3000;
@@ -240,7 +249,9 @@
 TEST_CASE("edge: killed between dispatch and answer, the load's outcome is unknown once and for good") {
   for (const bool durable : {true, false}) {
     Site::Options o = options();
-    o.script->fault = [](const Moment& m) { return m.at == Moment::At::kAck && m.run == 1 ? Fault::kSilent : Fault::kNone; };
+    o.script->fault = [](const Moment& m) {
+      return m.at == Moment::At::kAck && m.run == 1 ? Fault::kSilent : Fault::kNone;
+    };
     Site site(o);
     site.kill();
     site.set_conf(o.conf.substr(0, o.conf.size() - 2) +
@@ -256,7 +267,8 @@
     REQUIRE(site.until([&] { return tablet.device.idle(); }));
     CHECK(tablet.at(key).outcome.how == How::kUnknown);
     CHECK(tablet.at(key).finals == 1);
-    // Another life of the device asks again, after another restart: nothing else is ever said, and nothing runs.
+    // Another life of the device asks again, after another restart: nothing else is ever said, and nothing
+    // runs.
     site.kill();
     site.start();
     Tablet again(site, "tablet");
@@ -272,11 +284,14 @@
   }
 }
 
-TEST_CASE("edge: killed after the outcome was recorded, the next process tells it, with rows where a disk has them") {
+TEST_CASE(
+    "edge: killed after the outcome was recorded, the next process tells it, with rows where a disk has "
+    "them") {
   Site::Options o = options();
   Site site(o);
   site.kill();
-  site.set_conf("spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n  disk " + site.folder.path("disk") +
+  site.set_conf("spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n  disk " +
+                site.folder.path("disk") +
                 " 64m\n  disk-above 1k\n}\nedge {\n  listen 127.0.0.1:0\n  home one\n  ledger " +
                 site.folder.path("ledger") + " 4m\n}\n");
   site.start();
@@ -289,8 +304,8 @@
   proxy.hole_after(1);
   const auto key = tablet.client.ask("load", "insert into lessons_3.hours", 15000);
   REQUIRE(site.until([&] {
-    return site.server->edge()->logic().counts().answers == 1 && site.server->spool()->logic().disk().used() > 0 &&
-           site.server->spool()->disk_idle();
+    return site.server->edge()->logic().counts().answers == 1 &&
+           site.server->spool()->logic().disk().used() > 0 && site.server->spool()->disk_idle();
   }));
   const std::string id = last_id(site);
   site.kill();
@@ -343,14 +358,15 @@
   CHECK(total_runs(site) == 1);
 }
 
-TEST_CASE("edge: a session that lives elsewhere is shown the way, one whose home is gone runs no load again") {
+TEST_CASE(
+    "edge: a session that lives elsewhere is shown the way, one whose home is gone runs no load again") {
   Site site(options());
   const std::string secret = site.folder.path("secret");
   site.folder.write("secret", std::string(40, 's'));
   const auto start = [&](const std::string& home, const std::string& more) {
     site.kill();
-    site.set_conf("spool {\n  listen 127.0.0.1:0\n}\nedge {\n  listen 127.0.0.1:0\n  home " + home + "\n  secret " +
-                  secret + "\n" + more + "}\n");
+    site.set_conf("spool {\n  listen 127.0.0.1:0\n}\nedge {\n  listen 127.0.0.1:0\n  home " + home +
+                  "\n  secret " + secret + "\n" + more + "}\n");
     site.start();
   };
   start("two", "  other one 10.0.0.1:7071\n");
@@ -413,27 +429,32 @@
     socket.non_blocking(true);
     std::string in;
     bool ended = false;
-    CHECK(site.until([&] {
-      char part[4096];
-      boost::system::error_code error;
-      const std::size_t count = socket.read_some(boost::asio::buffer(part), error);
-      in.append(part, error ? 0 : count);
-      ended = error && error != boost::asio::error::would_block;
-      return ended || in.find("\r\n\r\n") != std::string::npos;
-    }, std::chrono::seconds(15)));
+    CHECK(site.until(
+        [&] {
+          char part[4096];
+          boost::system::error_code error;
+          const std::size_t count = socket.read_some(boost::asio::buffer(part), error);
+          in.append(part, error ? 0 : count);
+          ended = error && error != boost::asio::error::would_block;
+          return ended || in.find("\r\n\r\n") != std::string::npos;
+        },
+        std::chrono::seconds(15)));
     return in;
   };
-  const auto post = [&](const std::string& path, const std::string& body, const std::string& type = "application/json") {
-    return raw("POST " + path + " HTTP/1.1\r\nHost: e\r\nContent-Type: " + type + "\r\nContent-Length: " +
-               std::to_string(body.size()) + "\r\n\r\n" + body);
+  const auto post = [&](const std::string& path, const std::string& body,
+                        const std::string& type = "application/json") {
+    return raw("POST " + path + " HTTP/1.1\r\nHost: e\r\nContent-Type: " + type +
+               "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   };
   CHECK(raw("POST /edge/poll HTTP/1.1\r\nX: ").empty());  // and then nothing more: its time is over
   CHECK(raw("GET / HTTP/1.1\r\nX: " + std::string(20'000, 'x')).find("431") != std::string::npos);
-  CHECK(raw("POST /edge/poll HTTP/1.1\r\nHost: e\r\nContent-Length: 99999999\r\n\r\n").find("413") != std::string::npos);
+  CHECK(raw("POST /edge/poll HTTP/1.1\r\nHost: e\r\nContent-Length: 99999999\r\n\r\n").find("413") !=
+        std::string::npos);
   CHECK(raw("nonsense\r\n\r\n").empty());
   CHECK(raw("GET /edge/poll HTTP/1.1\r\nHost: e\r\n\r\n").find("405") != std::string::npos);
   CHECK(post("/edge/open", std::string(100'000, '[')).find("400") != std::string::npos);
-  CHECK(post("/edge/open", std::string(100'000, '\x81'), "application/cbor").find("400") != std::string::npos);
+  CHECK(post("/edge/open", std::string(100'000, '\x81'), "application/cbor").find("400") !=
+        std::string::npos);
   CHECK(post("/edge/open", "{}").find("hello-first") != std::string::npos);
   CHECK(post("/edge/poll", "{\"link\":\"00\"}").find("410") != std::string::npos);
   CHECK(post("/edge/open", "{\"frames\":[{\"t\":\"hello\",\"device\":7}]}").find("400") != std::string::npos);
@@ -453,7 +474,8 @@
   const std::string blanks(20 << 20, ' ');
   bomb.async_write(boost::asio::buffer(blanks), [&](boost::system::error_code, std::size_t) {});
   boost::beast::flat_buffer buffer;
-  bomb.async_read(buffer, [&](boost::system::error_code error, std::size_t) { refused = static_cast<bool>(error); });
+  bomb.async_read(buffer,
+                  [&](boost::system::error_code error, std::size_t) { refused = static_cast<bool>(error); });
   REQUIRE(site.until([&] { return refused; }));
   // The others did not notice.
   good.client.ask("report", "select 1 from a_1.t", 9000);
@@ -480,12 +502,15 @@
     for (int r = 0; r < 4; ++r) {
       const bool load = r % 2 == 1;
       loads += load;
-      tablets.back()->client.ask(load ? "load" : "report", (load ? "insert into" : "select 1 from") + std::string(" a_1.t"), 15000);
+      tablets.back()->client.ask(load ? "load" : "report",
+                                 (load ? "insert into" : "select 1 from") + std::string(" a_1.t"), 15000);
     }
   }
-  REQUIRE(site.until([&] {
-    return std::all_of(tablets.begin(), tablets.end(), [](const auto& t) { return t->device.idle(); });
-  }, std::chrono::seconds(60)));
+  REQUIRE(site.until(
+      [&] {
+        return std::all_of(tablets.begin(), tablets.end(), [](const auto& t) { return t->device.idle(); });
+      },
+      std::chrono::seconds(60)));
   std::size_t load_runs = 0;
   for (const auto& tablet : tablets) {
     for (const auto& [key, request] : tablet->device.requests()) {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -192,8 +192,8 @@
   w.until([&] { return w.directory.has(1, "follow 2\n"); });
 }
 
-// Guards against a list row of an unknown zone, kind or state that keeps the program from starting, and against drains
-// that are never heard of because a row before them stops the stream.
+// Guards against a list row of an unknown zone, kind or state that keeps the program from starting, and
+// against drains that are never heard of because a row before them stops the stream.
 TEST_CASE("a row that cannot be understood is left out, in the saved list, a whole one and a change") {
   const std::vector<std::pair<const char*, json>> faults = {
       {"zone", "nowhere"},  {"type", "unheard-of"}, {"status", "asleep"}, {"address", "no address"},
@@ -256,8 +256,9 @@
 
 // Guards against a start that fails for its saved list, which the stream tells anyway.
 TEST_CASE("a saved list that is empty, or cannot be read, is no reason not to start") {
-  for (const json& known : {json{{"index", 0}, {"updates", json::array()}}, json(nullptr), json{{"index", "x"}},
-                            json{{"index", 1}, {"updates", {{{"index", 1}, {"endpoints", nullptr}}}}}}) {
+  for (const json& known :
+       {json{{"index", 0}, {"updates", json::array()}}, json(nullptr), json{{"index", "x"}},
+        json{{"index", 1}, {"updates", {{{"index", 1}, {"endpoints", nullptr}}}}}}) {
     World w(1, [&](json& from) { from["known"] = known; });
     w.until([&] { return w.directory.has(0, "follow 0\n"); });
     w.directory.peer(0)->write(event(1, {row(0, address(w.engines[0]->acceptor))}, true).dump() + "\n1\n");
@@ -445,8 +446,8 @@
   CHECK(served.field == 0);
 }
 
-// Guards against a connection for each attempt of hundreds of coordinators, against engines that hold few; and against
-// a load that is lost with what another query has spoilt.
+// Guards against a connection for each attempt of hundreds of coordinators, against engines that hold few;
+// and against a load that is lost with what another query has spoilt.
 TEST_CASE("where coordinators are many, what may run again shares connections, and a load has its own") {
   World w(1, [](json& from) { from["settings"]["balancers"] = 300; });
   const auto client = w.client();
@@ -508,7 +509,8 @@
   w.until([&] { return w.server->io().stopped(); });
 }
 
-// Guards against attempts that are cut off because a whole list names their engine no more: it may finish them.
+// Guards against attempts that are cut off because a whole list names their engine no more: it may finish
+// them.
 TEST_CASE("an engine that a whole list leaves out finishes what it has") {
   World w(2);
   const auto client = w.client();
@@ -521,13 +523,15 @@
   });
   w.until([&] { return w.directory.has(0, "follow 1\n"); });
   const int other = at == 0 ? 1 : 0;
-  w.directory.peer(0)->write(event(2, {row(other, address(w.engines[1 - at]->acceptor))}, true).dump() + "\n2\n");
+  w.directory.peer(0)->write(event(2, {row(other, address(w.engines[1 - at]->acceptor))}, true).dump() +
+                             "\n2\n");
   w.until([&] { return w.server->listed() == 2; });
   w.engines[at]->peer(0)->write(ack(kId, "x\t\t\n"));
   CHECK(w.answer(*client).field == 0);
 }
 
-// Guards against engines that are held for unreachable because idle connections to others take all the places.
+// Guards against engines that are held for unreachable because idle connections to others take all the
+// places.
 TEST_CASE("more engines than connections: what lies idle makes room") {
   World w(40, [](json& from) {
     from["limits"]["sockets"] = 64;
@@ -565,7 +569,8 @@
   const auto out = [&](const std::string& text) {
     return std::any_of(w.engines.begin(), w.engines.end(), [&](const auto& engine) {
       engine->poll();
-      return std::any_of(engine->peers.begin(), engine->peers.end(), [&](const auto& peer) { return peer->has(text); });
+      return std::any_of(engine->peers.begin(), engine->peers.end(),
+                         [&](const auto& peer) { return peer->has(text); });
     });
   };
   w.until([&] { return out("serve " + kId) && out("serve " + load); });
@@ -716,8 +721,10 @@
     one["status"] = *rc::gen::elementOf(states);
     optional(one, "group", *inRange(-5, 5));
     optional(one, "weight", *inRange(0, 100) / 10.0);
-    optional(one, "since_ms", *rc::gen::elementOf(std::vector<json>{0, 1796164215140, 1.79616421514e12, -1, "x"}));
-    if (*inRange(0, 20) == 0) one.erase(*rc::gen::elementOf(std::vector<std::string>{"name", "address", "zone"}));
+    optional(one, "since_ms",
+             *rc::gen::elementOf(std::vector<json>{0, 1796164215140, 1.79616421514e12, -1, "x"}));
+    if (*inRange(0, 20) == 0)
+      one.erase(*rc::gen::elementOf(std::vector<std::string>{"name", "address", "zone"}));
     rows.push_back(one);
   }
   return rows;
@@ -725,7 +732,8 @@
 
 json any_config(const std::string& directory, int zones, int kinds, json rows) {
   json from = config(directory, std::move(rows));
-  from["limits"] = {{"cores", *inRange(1, 40) / 10.0}, {"memory_mb", *inRange(8, 192)}, {"sockets", *inRange(8, 1024)}};
+  from["limits"] = {
+      {"cores", *inRange(1, 40) / 10.0}, {"memory_mb", *inRange(8, 192)}, {"sockets", *inRange(8, 1024)}};
   json& s = from["settings"];
   s["balancers"] = *inRange(1, 2000), s["rank"] = *inRange(0, 2000);
   s["localities"] = names("zone", zones), s["locality"] = "zone" + std::to_string(*inRange(0, zones));
@@ -742,9 +750,12 @@
     optional(cls, "host_types_only", names("kind", *inRange(0, kinds + 1)));
   }
   json facts = json::object();
-  optional(facts, "cores_by_kind", std::vector<int>(static_cast<std::size_t>(*inRange(0, kinds + 2)), *inRange(1, 64)));
-  optional(facts, "ram_of_kind_mb", std::vector<double>(static_cast<std::size_t>(*inRange(0, kinds + 2)), 32768.0));
-  optional(facts, "threads_by_class", std::vector<int>(static_cast<std::size_t>(*inRange(0, 4)), *inRange(1, 4)));
+  optional(facts, "cores_by_kind",
+           std::vector<int>(static_cast<std::size_t>(*inRange(0, kinds + 2)), *inRange(1, 64)));
+  optional(facts, "ram_of_kind_mb",
+           std::vector<double>(static_cast<std::size_t>(*inRange(0, kinds + 2)), 32768.0));
+  optional(facts, "threads_by_class",
+           std::vector<int>(static_cast<std::size_t>(*inRange(0, 4)), *inRange(1, 4)));
   optional(facts, "class_load", std::vector<bool>{false, *inRange(0, 2) == 1});
   optional(facts, "yields_to_loads", std::vector<bool>{*inRange(0, 2) == 1});
   optional(facts, "progress_us", *inRange(0, 500000));
@@ -752,12 +763,16 @@
   optional(s, "family_info", facts);
   json tenants = json::array();
   for (int i = *inRange(0, 64); i > 0; --i)
-    tenants.push_back({{"name", i == 1 ? "acme" : "team" + std::to_string(i)}, {"quota_rps", *inRange(0, 100)}, {"share", 0.1}});
+    tenants.push_back({{"name", i == 1 ? "acme" : "team" + std::to_string(i)},
+                       {"quota_rps", *inRange(0, 100)},
+                       {"share", 0.1}});
   optional(s, "customers", tenants);
-  optional(s, "reporting", {{"how", *rc::gen::elementOf(std::vector<std::string>{"piggyback", "pull", "silent"})}});
+  optional(s, "reporting",
+           {{"how", *rc::gen::elementOf(std::vector<std::string>{"piggyback", "pull", "silent"})}});
   optional(s, "over_share_worth", *inRange(0, 11) / 10.0);
   optional(s, "costs", {{"probe", 0.01}, {"cross_zone", nullptr}});
-  for (const char* field : {"may_cancel", "may_probe", "retry_after"}) optional(s["limits"], field, *inRange(0, 2) == 1);
+  for (const char* field : {"may_cancel", "may_probe", "retry_after"})
+    optional(s["limits"], field, *inRange(0, 2) == 1);
   optional(s["limits"], "most_tries", *inRange(1, 8));
   optional(s["limits"], "multiplex", *inRange(0, 100));
   optional(s["limits"], "conn_idle_us", *inRange(0, 15'000'000));
@@ -781,22 +796,26 @@
     asio::io_context io;
     Listener directory(io);
     const int zones = *inRange(1, 16), kinds = *inRange(1, 12);
-    const ConfigFile file(any_config(address(directory.acceptor), zones, kinds, any_rows(*inRange(0, 60), zones, kinds)));
+    const ConfigFile file(
+        any_config(address(directory.acceptor), zones, kinds, any_rows(*inRange(0, 60), zones, kinds)));
     Server server(file.read());
     server.start();
     tcp::socket socket(io);
     socket.connect(server.endpoint());
     Peer client(std::move(socket));
     for (int call = 0; call < 6; ++call)
-      client.write(query(call, "00000000000000f" + std::to_string(call), call % 2 == 0 ? "lookup" : "load", "900"));
+      client.write(
+          query(call, "00000000000000f" + std::to_string(call), call % 2 == 0 ? "lookup" : "load", "900"));
     const auto end = std::chrono::steady_clock::now() + kGiveUp;
     const auto until = [&](const std::function<bool()>& happened) {
-      while (!happened() && std::chrono::steady_clock::now() < end) server.io().run_for(std::chrono::milliseconds(1));
+      while (!happened() && std::chrono::steady_clock::now() < end)
+        server.io().run_for(std::chrono::milliseconds(1));
       RC_ASSERT(happened());
     };
     const std::string follow = "follow 1\n";
     until([&] { return directory.has(0, follow); });
-    directory.peer(0)->write(event(2, any_rows(*inRange(0, 60), zones, kinds), *inRange(0, 2) == 1).dump() + "\n2\n");
+    directory.peer(0)->write(event(2, any_rows(*inRange(0, 60), zones, kinds), *inRange(0, 2) == 1).dump() +
+                             "\n2\n");
     until([&] { return server.listed() == 2; });
     directory.peer(0)->write(event(3, any_rows(*inRange(0, 5), zones, kinds), true).dump() + "\n3\n");
     until([&] { return server.listed() == 3; });
--- a/tests/net_world.h
+++ b/tests/net_world.h
@@ -1,5 +1,5 @@
-// What stories over loopback sockets have in common: a configuration, scripted peers, and a coordinator among them.
-// One thread runs all: each story advances the program until what it waits for has happened.
+// What stories over loopback sockets have in common: a configuration, scripted peers, and a coordinator among
+// them. One thread runs all: each story advances the program until what it waits for has happened.
 #pragma once
 
 #include <unistd.h>
@@ -157,7 +157,7 @@
   return frame(1, "execute", call, args + "\x0b" + number(2, 2) + text("select 1 from a_7.t") + '\0');
 }
 inline std::string query(int call, const std::string& id, const std::string& verb = "lookup",
-                  const std::string& limit = "9000") {
+                         const std::string& limit = "9000") {
   return execute(call, {{"txn", id}, {"verb", verb}, {"limit", limit}, {"team", "acme"}});
 }
 inline std::string interrupt(int call) {
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,4 +1,5 @@
-// The real program as a process of its own: how it starts and ends, whatever the platform does to it meanwhile.
+// The real program as a process of its own: how it starts and ends, whatever the platform does to it
+// meanwhile.
 #include <fcntl.h>
 #include <poll.h>
 #include <sys/resource.h>
@@ -23,7 +24,9 @@
   return tcp::acceptor(io, {host, 0}).local_endpoint();
 }
 
-std::string text_of(const tcp::endpoint& at) { return at.address().to_string() + ':' + std::to_string(at.port()); }
+std::string text_of(const tcp::endpoint& at) {
+  return at.address().to_string() + ':' + std::to_string(at.port());
+}
 
 class Process {
  public:
@@ -198,7 +201,8 @@
 }
 
 // Guards against clients that wait for a restart and find a start that fails, or a line too short for them.
-TEST_CASE("process: killed with connections open, it starts again at once under its address, clients waiting") {
+TEST_CASE(
+    "process: killed with connections open, it starts again at once under its address, clients waiting") {
   asio::io_context io;
   const auto listen = free_endpoint();
   ConfigFile file(process_config(listen, "127.0.0.1:9"));
@@ -217,7 +221,8 @@
   CHECK(process->wait() == 0);
 }
 
-// Guards against a configuration that cannot be used and a process that serves all the same, or ends without a word.
+// Guards against a configuration that cannot be used and a process that serves all the same, or ends without
+// a word.
 TEST_CASE("process: a bad configuration is one clear line and an exit that is not 0") {
   ConfigFile file(process_config(free_endpoint(), "127.0.0.1:9"));
   const std::string whole = process_config(free_endpoint(), "127.0.0.1:9").dump();
@@ -275,7 +280,8 @@
 #endif
 
 // Guards against a directory that keeps a process from starting, serving or ending.
-TEST_CASE("process: a directory that is absent, silent or closes within an event keeps nothing from its work") {
+TEST_CASE(
+    "process: a directory that is absent, silent or closes within an event keeps nothing from its work") {
   asio::io_context io;
   for (const int kind : {0, 1, 2}) {
     const auto listen = free_endpoint();
@@ -425,7 +431,8 @@
       const std::size_t end = peer.in.find("\r\n");
       if (end == std::string::npos) return;
       const std::string line = peer.in.substr(0, end);
-      const std::string id = line.substr(line.find(' ') + 1, line.find(' ', line.find(' ') + 1) - line.find(' ') - 1);
+      const std::string id =
+          line.substr(line.find(' ') + 1, line.find(' ', line.find(' ') + 1) - line.find(' ') - 1);
       std::size_t whole = end + 2;
       if (line.starts_with("serve ")) {
         whole += std::stoul(line.substr(line.rfind(' ') + 1)) + 2;
@@ -466,11 +473,14 @@
   for (int i = 0; i < 16; ++i) settings["localities"].push_back("zone" + std::to_string(i));
   for (int i = 0; i < 12; ++i) settings["host_types"].push_back("kind" + std::to_string(i));
   settings["locality"] = "zone3";
-  settings["family_info"] = {{"cores_by_kind", std::vector<int>(12, 8)}, {"threads_by_class", {1, 2}},
-                             {"class_load", {false, true}}, {"yields_to_loads", {true, false}},
+  settings["family_info"] = {{"cores_by_kind", std::vector<int>(12, 8)},
+                             {"threads_by_class", {1, 2}},
+                             {"class_load", {false, true}},
+                             {"yields_to_loads", {true, false}},
                              {"progress_us", 500000}};
   for (int i = 0; i < 64; ++i)
-    settings["customers"].push_back({{"name", i == 0 ? "acme" : "team" + std::to_string(i)}, {"share", 1.0 / 64}});
+    settings["customers"].push_back(
+        {{"name", i == 0 ? "acme" : "team" + std::to_string(i)}, {"share", 1.0 / 64}});
   return from;
 }
 
@@ -483,8 +493,10 @@
 
 }  // namespace
 
-// Guards against a cap on engines or coordinators, and against memory, descriptors or time that follow their product.
-TEST_CASE("process: a thousand coordinators before a thousand engines, six in ten replaced, a move and the end") {
+// Guards against a cap on engines or coordinators, and against memory, descriptors or time that follow their
+// product.
+TEST_CASE(
+    "process: a thousand coordinators before a thousand engines, six in ten replaced, a move and the end") {
   asio::io_context io;
   Listener first(io), second(io);
   ManyEngines engines(io);
--- a/tests/routes/check_test.cpp
+++ b/tests/routes/check_test.cpp
@@ -1,9 +1,11 @@
 // The checker against examples, and against what the decision module does with files that it lets pass.
-#include <catch2/catch.hpp>
+#include "routes/check/check.h"
+
 #include <rapidcheck/catch.h>
 
+#include <catch2/catch.hpp>
+
 #include "conf/document.h"
-#include "routes/check/check.h"
 
 namespace {
 
@@ -78,8 +80,11 @@
   CHECK(two[0].text == "report may be out for 2 x 8 s = 16 s, given up after 15 s");
   CHECK(findings("route r {\n  class report\n  attempts 2\n  patience 7s\n  pause 1s\n}\n").empty());
   // Jitter counts: 7 + 7 + 1 would do, 7 + 7 + 1.5 does not.
-  CHECK(findings("route r {\n  class report\n  attempts 2\n  patience 7s\n  pause 1s jitter 50%\n}\n").size() == 1);
-  CHECK(findings("route r {\n  class lookup\n  patience 5s\n}\n")[0].text == "lookup may be out for 5 s, given up after 4 s");
+  CHECK(
+      findings("route r {\n  class report\n  attempts 2\n  patience 7s\n  pause 1s jitter 50%\n}\n").size() ==
+      1);
+  CHECK(findings("route r {\n  class lookup\n  patience 5s\n}\n")[0].text ==
+        "lookup may be out for 5 s, given up after 4 s");
   // A file that is right for one class and wrong for another.
   const auto all = findings("route r {\n  attempts 2\n  patience 3s\n  tenant acme\n}\n");
   REQUIRE(all.size() == 2);
@@ -100,13 +105,16 @@
   REQUIRE(copy.size() == 1);
   CHECK(copy[0].rule == Rule::kTwoOut);
   CHECK(copy[0].line == 5);
-  CHECK(copy[0].text == "report may have two attempts out at once: a copy leaves after 2 s, and the first attempt may be out for 5 s");
+  CHECK(copy[0].text ==
+        "report may have two attempts out at once: a copy leaves after 2 s, and the first attempt may be out "
+        "for 5 s");
   CHECK(findings("route r {\n  class report\n  patience 5s\n  attempts 2\n  copy-after 5s\n}\n").empty());
   // Without a patience the first attempt may be out until the client gives up.
   CHECK(findings("route r {\n  class report\n  attempts 2\n  copy-after 14s\n}\n").size() == 1);
 }
 
-TEST_CASE("check: a pool that no engine can be in, a start too quick for cold engines, rations beyond the rule's") {
+TEST_CASE(
+    "check: a pool that no engine can be in, a start too quick for cold engines, rations beyond the rule's") {
   const auto pool = findings("pool p {\n  zone south\n}\nroute r {\n  class load\n  pool p\n}\n");
   REQUIRE(pool.size() == 1);
   CHECK(pool[0].rule == Rule::kEmptyPool);
@@ -117,7 +125,8 @@
   CHECK(cold[0].rule == Rule::kColdStart);
   CHECK(cold[0].line == 2);
   CHECK(findings("pool p {\n  slow-start 10m 10%\n}\nroute r {\n  class report\n  pool p\n}\n").empty());
-  const auto ration = findings("route a {\n  class report\n  ration 10%\n}\nroute b {\n  class lookup\n  ration 30%\n}\n");
+  const auto ration =
+      findings("route a {\n  class report\n  ration 10%\n}\nroute b {\n  class lookup\n  ration 30%\n}\n");
   REQUIRE(ration.size() == 1);
   CHECK(ration[0].rule == Rule::kRation);
   CHECK(ration[0].line == 7);
@@ -152,24 +161,28 @@
   CHECK(both[0].text.find("line 1") != std::string::npos);
 }
 
-// Soundness both ways: where the checker says yes, the module under engines that answer nothing until patience is over
-// stays within the limit; where it says no, its history is one that the file allows and that breaks the rule.
-TEST_CASE("check: what passes holds against engines that never answer, what does not has a history that breaks") {
+// Soundness both ways: where the checker says yes, the module under engines that answer nothing until
+// patience is over stays within the limit; where it says no, its history is one that the file allows and that
+// breaks the rule.
+TEST_CASE(
+    "check: what passes holds against engines that never answer, what does not has a history that breaks") {
   rc::prop("random files", [] {
     const Platform platform;
     const int cls = *rc::gen::inRange(0, 3), attempts = *rc::gen::inRange(1, 6);
     const int patience = *rc::gen::inRange(1, 100) * 100, pause = *rc::gen::inRange(0, 20) * 100;
-    const int jitter = *rc::gen::inRange(0, 101), copy = *rc::gen::inRange(0, 2) * *rc::gen::inRange(1, 100) * 100;
+    const int jitter = *rc::gen::inRange(0, 101),
+              copy = *rc::gen::inRange(0, 2) * *rc::gen::inRange(1, 100) * 100;
     std::string text = "route r {\n  class " + platform.tables.classes.name(cls) + "\n  attempts " +
-                       std::to_string(attempts) + "\n  patience " + std::to_string(patience) + "ms\n  pause " +
-                       std::to_string(pause) + "ms jitter " + std::to_string(jitter) + "%\n";
+                       std::to_string(attempts) + "\n  patience " + std::to_string(patience) +
+                       "ms\n  pause " + std::to_string(pause) + "ms jitter " + std::to_string(jitter) + "%\n";
     if (copy > 0) text += "  copy-after " + std::to_string(copy) + "ms\n";
     const auto found = findings(text + "}\n");
     const ClassSettings& c = platform.settings.classes[static_cast<std::size_t>(cls)];
     const int tries = std::min(attempts, platform.settings.most_tries);
     // The longest history by hand.
     const bool once = c.effect == Effect::kOnce;
-    const double longest = patience * (once ? 1 : tries) + pause * (1 + jitter / 100.0) * ((once ? 1 : tries) - 1);
+    const double longest =
+        patience * (once ? 1 : tries) + pause * (1 + jitter / 100.0) * ((once ? 1 : tries) - 1);
     const bool beyond = longest * 1000 > static_cast<double>(c.hard_limit.count());
     const auto has = [&](Rule rule) {
       return std::any_of(found.begin(), found.end(), [&](const Finding& f) { return f.rule == rule; });
@@ -183,14 +196,17 @@
         Micros at{0};
         for (std::size_t i = 0; i < f.attempts.size(); ++i) {
           const Micros wait = f.attempts[i].leaves - at;
-          if (i > 0) RC_ASSERT(wait.count() >= static_cast<std::int64_t>(pause * 1000 * (1 - jitter / 100.0)) - 1);
-          if (i > 0) RC_ASSERT(wait.count() <= static_cast<std::int64_t>(pause * 1000 * (1 + jitter / 100.0)) + 1);
+          if (i > 0)
+            RC_ASSERT(wait.count() >= static_cast<std::int64_t>(pause * 1000 * (1 - jitter / 100.0)) - 1);
+          if (i > 0)
+            RC_ASSERT(wait.count() <= static_cast<std::int64_t>(pause * 1000 * (1 + jitter / 100.0)) + 1);
           RC_ASSERT(f.attempts[i].ends - f.attempts[i].leaves <= Micros{patience * 1000});
           at = f.attempts[i].ends;
         }
         RC_ASSERT(at > c.hard_limit);
-        const double fewer = patience * (static_cast<double>(f.attempts.size()) - 1) +
-                             pause * (1 + jitter / 100.0) * std::max(0.0, static_cast<double>(f.attempts.size()) - 2);
+        const double fewer =
+            patience * (static_cast<double>(f.attempts.size()) - 1) +
+            pause * (1 + jitter / 100.0) * std::max(0.0, static_cast<double>(f.attempts.size()) - 2);
         RC_ASSERT(fewer * 1000 <= static_cast<double>(c.hard_limit.count()) + 1);
       }
       if (f.rule == Rule::kTwoOut) RC_ASSERT(f.attempts.at(1).leaves < f.attempts.at(0).ends);
--- a/tests/routes/logic_test.cpp
+++ b/tests/routes/logic_test.cpp
@@ -1,8 +1,9 @@
-// Routes in virtual time: matching against the plain scan, limits against plain rules, and the decision module under
-// a route's figures.
+// Routes in virtual time: matching against the plain scan, limits against plain rules, and the decision
+// module under a route's figures.
+#include <rapidcheck/catch.h>
+
 #include <catch2/catch.hpp>
 #include <deque>
-#include <rapidcheck/catch.h>
 #include <set>
 
 #include "routes/logic/route_logic.h"
@@ -40,11 +41,13 @@
 }
 
 Facts any_facts() {
-  return {*rc::gen::inRange(0, 4), *rc::gen::inRange(0, 4), *rc::gen::inRange(-1, 4), *rc::gen::inRange(0, 4),
-          *rc::gen::inRange(0, 70) * 1.0, *rc::gen::inRange(0, 70) * 1.0};
+  return {*rc::gen::inRange(0, 4), *rc::gen::inRange(0, 4),        *rc::gen::inRange(-1, 4),
+          *rc::gen::inRange(0, 4), *rc::gen::inRange(0, 70) * 1.0, *rc::gen::inRange(0, 70) * 1.0};
 }
 
-Route route(const std::string& name, Match match, routes::Terms terms = {}) { return {name, 1, match, std::move(terms)}; }
+Route route(const std::string& name, Match match, routes::Terms terms = {}) {
+  return {name, 1, match, std::move(terms)};
+}
 
 }  // namespace
 
@@ -87,7 +90,8 @@
   REQUIRE(ambiguities(routes).empty());
   const RouteTree tree(routes);
   CHECK(tree.nodes() < 3000);
-  for (int i = 0; i < 1000; ++i) CHECK(tree.match({i % 5, i / 5 % 20, i / 100, 0, 0, 0}) == static_cast<std::size_t>(i));
+  for (int i = 0; i < 1000; ++i)
+    CHECK(tree.match({i % 5, i / 5 % 20, i / 100, 0, 0, 0}) == static_cast<std::size_t>(i));
 }
 
 TEST_CASE("routes: a pattern matches as a scan of all splits does") {
@@ -240,7 +244,9 @@
 
 // ---- The decision module under a route's figures ----
 
-TEST_CASE("routes: on hanging engines patience acts at its time, attempts stop at their number, the answer is in time") {
+TEST_CASE(
+    "routes: on hanging engines patience acts at its time, attempts stop at their number, the answer is in "
+    "time") {
   RouteFigures figures;
   figures.patience = {1s, 2s};
   figures.pause = 500ms;
@@ -262,22 +268,29 @@
   CHECK(*told.ended - told.sent[2].at == 2s);
 }
 
-TEST_CASE("routes: whatever is set, one attempt is out at a time, a load runs once, and one answer comes in time") {
+TEST_CASE(
+    "routes: whatever is set, one attempt is out at a time, a load runs once, and one answer comes in time") {
   rc::prop("random figures, adversarial engines", [] {
     RouteFigures figures;
-    for (int i = *rc::gen::inRange(0, 3); i > 0; --i) figures.patience.push_back(Micros{*rc::gen::inRange(10'000, 20'000'000)});
+    for (int i = *rc::gen::inRange(0, 3); i > 0; --i)
+      figures.patience.push_back(Micros{*rc::gen::inRange(10'000, 20'000'000)});
     figures.pause = Micros{*rc::gen::inRange(0, 4'000'000)};
     figures.jitter = *rc::gen::inRange(0, 101) / 100.0;
     figures.most_tries = *rc::gen::inRange(0, 9);
     figures.move_after = Micros{*rc::gen::inRange(0, 2) * *rc::gen::inRange(100'000, 3'000'000)};
-    if (*rc::gen::arbitrary<bool>()) figures.ration = *rc::gen::inRange(0, 50) / 100.0, figures.ration_burst = *rc::gen::inRange(0, 5);
-    World world(figures, *rc::gen::arbitrary<bool>() ? std::vector<bool>{true, false, true} : std::vector<bool>{});
+    if (*rc::gen::arbitrary<bool>())
+      figures.ration = *rc::gen::inRange(0, 50) / 100.0, figures.ration_burst = *rc::gen::inRange(0, 5);
+    World world(figures,
+                *rc::gen::arbitrary<bool>() ? std::vector<bool>{true, false, true} : std::vector<bool>{});
     const auto fates = *rc::gen::container<std::vector<int>>(8, rc::gen::inRange(0, 4));
     std::size_t next = 0;
     world.fate = [&](int) -> World::Fate {
       const int fate = fates[next++ % fates.size()];
       if (fate == 0) return std::nullopt;
-      return std::pair{fate == 1 ? Outcome::kDropped : fate == 2 ? Outcome::kShed : Outcome::kDelivered, Micros{300'000}};
+      return std::pair{fate == 1   ? Outcome::kDropped
+                       : fate == 2 ? Outcome::kShed
+                                   : Outcome::kDelivered,
+                       Micros{300'000}};
     };
     for (int i = 0; i < 6; ++i) {
       world.arrive(i % 2);
@@ -288,7 +301,8 @@
       RC_ASSERT(told.ended.has_value());
       RC_ASSERT(told.answers == 1);
       RC_ASSERT(told.most_out <= 1);
-      RC_ASSERT(static_cast<int>(told.sent.size()) <= (figures.most_tries > 0 ? std::min(figures.most_tries, 4) : 4));
+      RC_ASSERT(static_cast<int>(told.sent.size()) <=
+                (figures.most_tries > 0 ? std::min(figures.most_tries, 4) : 4));
     }
   });
 }
@@ -321,7 +335,9 @@
   CHECK(world.told[back].served);
 }
 
-TEST_CASE("routes: memory and priority are the route's where engines heed them, within what an engine gives one query") {
+TEST_CASE(
+    "routes: memory and priority are the route's where engines heed them, within what an engine gives one "
+    "query") {
   RouteFigures figures;
   figures.memory_mb = 9000, figures.priority = 3;
   for (const bool heeded : {true, false}) {
@@ -353,7 +369,8 @@
   CHECK(world.told[id].ended.has_value());
 }
 
-// Engines fail nine answers in ten, and clients come again twice: the ration keeps what goes out near what came in.
+// Engines fail nine answers in ten, and clients come again twice: the ration keeps what goes out near what
+// came in.
 TEST_CASE("routes: a retry storm stays within the ration, and service comes back when the fault ends") {
   const auto storm = [](std::optional<double> ration) {
     RouteFigures figures;
--- a/tests/routes/plan_test.cpp
+++ b/tests/routes/plan_test.cpp
@@ -1,11 +1,13 @@
 // The planner against plans tried one by one, and its files against the checker.
+#include "routes/plan/plan.h"
+
+#include <rapidcheck/catch.h>
+
 #include <catch2/catch.hpp>
 #include <random>
-#include <rapidcheck/catch.h>
 
 #include "conf/document.h"
 #include "routes/check/check.h"
-#include "routes/plan/plan.h"
 
 namespace {
 
@@ -60,7 +62,8 @@
 TEST_CASE("plan: what is expected of an option is what drawing it out gives") {
   const Platform platform;
   const Stream stream{"s", "report", "", 1, 10, 800, 0.7, 0.2};
-  for (const auto& [attempts, patience] : {std::pair{1, 15000ms}, std::pair{2, 1500ms}, std::pair{3, 900ms}}) {
+  for (const auto& [attempts, patience] :
+       {std::pair{1, 15000ms}, std::pair{2, 1500ms}, std::pair{3, 900ms}}) {
     const Expected told = expected(stream, platform.settings.classes[1], attempts, patience);
     std::mt19937_64 random(9);
     const double s2 = std::log(1 + 0.49);
@@ -72,7 +75,8 @@
       double at = 0;
       for (int k = 0; k < attempts; ++k) {
         extra += k > 0;
-        const double takes = chance(random) < 0.2 ? 1e18 : time(random), p = static_cast<double>(patience.count());
+        const double takes = chance(random) < 0.2 ? 1e18 : time(random),
+                     p = static_cast<double>(patience.count());
         busy += std::min(takes, p);
         if (takes <= p) {
           worth += at + takes <= 2000 ? 4 : 4 * 0.3;
@@ -87,7 +91,9 @@
   }
 }
 
-TEST_CASE("plan: where cores are short the work that brings least for them gives way, and the file passes the checker") {
+TEST_CASE(
+    "plan: where cores are short the work that brings least for them gives way, and the file passes the "
+    "checker") {
   const Platform platform;
   const Traffic traffic = read(
       "engines {\n  cores 32\n}\n"
@@ -112,8 +118,9 @@
     const char* names[] = {"lookup", "report", "load"};
     for (int i = 0; i < 3; ++i) {
       text += std::string("traffic t") + std::to_string(i) + " {\n  class " + names[i] + "\n  rate " +
-              std::to_string(*rc::gen::inRange(1, 100)) + "\n  time " + std::to_string(*rc::gen::inRange(5, 3000)) +
-              "ms spread " + std::to_string(*rc::gen::inRange(5, 150)) + "%\n  lost " +
+              std::to_string(*rc::gen::inRange(1, 100)) + "\n  time " +
+              std::to_string(*rc::gen::inRange(5, 3000)) + "ms spread " +
+              std::to_string(*rc::gen::inRange(5, 150)) + "%\n  lost " +
               std::to_string(*rc::gen::inRange(0, 40)) + "%\n}\n";
     }
     const Traffic traffic = read(text);
@@ -140,7 +147,8 @@
 
 TEST_CASE("plan: traffic of a class that nobody has is told with its line") {
   const Platform platform;
-  const Plan planned = plan(read("engines {\n  cores 8\n}\ntraffic t {\n  class raport\n  rate 1\n  time 5ms\n}\n"),
-                            platform.settings, platform.tables);
+  const Plan planned =
+      plan(read("engines {\n  cores 8\n}\ntraffic t {\n  class raport\n  rate 1\n  time 5ms\n}\n"),
+           platform.settings, platform.tables);
   CHECK(planned.fault.find("line 4") == 0);
 }
--- a/tests/routes/story_test.cpp
+++ b/tests/routes/story_test.cpp
@@ -1,6 +1,5 @@
 // Stories of routes over loopback: hanging engines, files that could break a rule, and reloads.
 #include <catch2/catch.hpp>
-
 #include <sstream>
 
 #include "commands/explain.h"
@@ -20,7 +19,8 @@
   return options;
 }
 
-Reply execute(Site& site, Client& client, const std::string& id, const std::string& verb = "report", int limit = 9000) {
+Reply execute(Site& site, Client& client, const std::string& id, const std::string& verb = "report",
+              int limit = 9000) {
   client.call("execute", 1, request(id, verb, "acme", limit), "select 1 from a_7.t");
   const auto reply = site.reply(client);
   REQUIRE(reply);
@@ -31,9 +31,14 @@
 
 }  // namespace
 
-TEST_CASE("routes: on engines that hang a route's patience and attempts act, and the answer comes before the limit") {
-  Site site(options("route r {\n  class report\n  attempts 2\n  patience 300ms\n  patience 600ms\n  pause 100ms\n}\n"));
-  site.script->fault = [](const Moment& m) { return m.at == Moment::At::kAck ? Fault::kSilent : Fault::kNone; };
+TEST_CASE(
+    "routes: on engines that hang a route's patience and attempts act, and the answer comes before the "
+    "limit") {
+  Site site(options(
+      "route r {\n  class report\n  attempts 2\n  patience 300ms\n  patience 600ms\n  pause 100ms\n}\n"));
+  site.script->fault = [](const Moment& m) {
+    return m.at == Moment::At::kAck ? Fault::kSilent : Fault::kNone;
+  };
   const auto client = site.client();
   const auto start = std::chrono::steady_clock::now();
   const Reply reply = execute(site, *client, kId);
@@ -63,8 +68,9 @@
 }
 
 TEST_CASE("routes: a pool's requests go to its engines, and are refused while it has none") {
-  Site site(options("pool p {\n  engines engine1\n}\npool q {\n  engines elsewhere*\n}\n"
-                    "route r {\n  class report\n  pool p\n}\nroute l {\n  class lookup\n  pool q\n}\n"));
+  Site site(
+      options("pool p {\n  engines engine1\n}\npool q {\n  engines elsewhere*\n}\n"
+              "route r {\n  class report\n  pool p\n}\nroute l {\n  class lookup\n  pool q\n}\n"));
   const auto client = site.client();
   for (int i = 0; i < 6; ++i) {
     const std::string id = "00000000000000b" + std::to_string(i);
@@ -74,7 +80,8 @@
   CHECK(execute(site, *client, "00000000000000c1", "lookup").field == 1);
 }
 
-TEST_CASE("routes: a file that could break a rule stops the start with its place, and a reload changes nothing") {
+TEST_CASE(
+    "routes: a file that could break a rule stops the start with its place, and a reload changes nothing") {
   const std::string good = "route r {\n  class report\n  attempts 2\n  patience 1s\n}\n";
   const std::string bad = "route r {\n  class report\n  attempts 3\n  patience 8s\n}\n";
   std::string told;
@@ -84,11 +91,13 @@
     told = fault.what();
   }
   INFO(told);
-  CHECK(told.find("steprail.conf:4:3: report may be out for 3 x 8 s = 24 s, given up after 20 s") != std::string::npos);
+  CHECK(told.find("steprail.conf:4:3: report may be out for 3 x 8 s = 24 s, given up after 20 s") !=
+        std::string::npos);
   CHECK(told.find("patience 8s") != std::string::npos);
   Site site(options(good));
-  for (const std::string& next : {bad, std::string("route r {\n  class report\n  attempts 3"), std::string("route {\n}\n"),
-                                  std::string("route a {\n}\nroute b {\n}\n"), std::string("route r {\n  class raport\n}\n")}) {
+  for (const std::string& next :
+       {bad, std::string("route r {\n  class report\n  attempts 3"), std::string("route {\n}\n"),
+        std::string("route a {\n}\nroute b {\n}\n"), std::string("route r {\n  class raport\n}\n")}) {
     site.set_conf(next);
     site.server->reload();
     REQUIRE(site.server->routes()->logic().set().routes.size() == 1);
@@ -97,9 +106,10 @@
 }
 
 TEST_CASE("routes: explain names the route that holds, and what keeps each other one from it") {
-  Site site(options("route all {\n  class report\n  attempts 2\n}\nroute acme {\n  class report\n  tenant acme\n"
-                    "  patience 2s\n  limit 4 40\n}\nroute heavy {\n  class report\n  tenant acme\n  work 500 9000\n}\n"
-                    "route l {\n  class lookup\n}\n"));
+  Site site(options(
+      "route all {\n  class report\n  attempts 2\n}\nroute acme {\n  class report\n  tenant acme\n"
+      "  patience 2s\n  limit 4 40\n}\nroute heavy {\n  class report\n  tenant acme\n  work 500 9000\n}\n"
+      "route l {\n  class lookup\n}\n"));
   const auto told = [&](commands::ExplainOptions asked) {
     asked.config = site.folder.path("config.json"), asked.conf = site.folder.path("steprail.conf");
     std::ostringstream out;
@@ -123,8 +133,10 @@
 
 TEST_CASE("routes: a plan for stated traffic is a file that a coordinator starts with") {
   Site site(options("log {\n  level info\n}\n"));
-  site.folder.write("traffic", "engines {\n  cores 32\n}\ntraffic reports {\n  class report\n  rate 60\n  time 900ms spread 80%\n"
-                               "  lost 5%\n}\ntraffic loads {\n  class load\n  rate 2\n  time 1500ms\n}\n");
+  site.folder.write(
+      "traffic",
+      "engines {\n  cores 32\n}\ntraffic reports {\n  class report\n  rate 60\n  time 900ms spread 80%\n"
+      "  lost 5%\n}\ntraffic loads {\n  class load\n  rate 2\n  time 1500ms\n}\n");
   const auto made = [&](const std::string& conf) {
     std::ostringstream out;
     commands::plan(site.folder.path("config.json"), conf, site.folder.path("traffic"), out);
@@ -146,9 +158,12 @@
   CHECK_THROWS_WITH(made(""), Catch::Contains("engines"));
 }
 
-TEST_CASE("routes: open requests keep their figures over a reload that takes their route away, twice in a row") {
+TEST_CASE(
+    "routes: open requests keep their figures over a reload that takes their route away, twice in a row") {
   Site site(options("route r {\n  class report\n  attempts 3\n  patience 300ms\n  pause 200ms\n}\n"));
-  site.script->fault = [](const Moment& m) { return m.at == Moment::At::kAck ? Fault::kSilent : Fault::kNone; };
+  site.script->fault = [](const Moment& m) {
+    return m.at == Moment::At::kAck ? Fault::kSilent : Fault::kNone;
+  };
   const auto client = site.client();
   client->call("execute", 1, request(kId), "select 1 from a_7.t");
   REQUIRE(site.until([&] { return site.runs(kId) == 1; }));
--- a/tests/spool/logic_test.cpp
+++ b/tests/spool/logic_test.cpp
@@ -1,7 +1,8 @@
 // The spool's decisions: random histories against a plain model of who holds what, in virtual time.
+#include <rapidcheck/catch.h>
+
 #include <catch2/catch.hpp>
 #include <map>
-#include <rapidcheck/catch.h>
 #include <set>
 
 #include "spool/logic/spool_logic.h"
@@ -155,7 +156,8 @@
     const Bytes before = w.logic.memory().used(tenant);
     const Placement placement = w.logic.begin(id, expected);
     if (expected <= kLongest && before + expected <= w.logic.memory().reserve(tenant)) {
-      RC_ASSERT(placement == Placement::kSpool);  // what is reserved for a tenant is there, whatever others do
+      RC_ASSERT(placement ==
+                Placement::kSpool);  // what is reserved for a tenant is there, whatever others do
     }
     if (placement == Placement::kSpool) w.memory[id] = {tenant, w.logic.charged(id)};
     bool room = placement != Placement::kRefused;
@@ -295,7 +297,8 @@
 }
 
 // Guards against the same result going back and forth about one mark.
-TEST_CASE("spool: between the marks nothing moves, above the high one the highest tenant's oldest go to disk") {
+TEST_CASE(
+    "spool: between the marks nothing moves, above the high one the highest tenant's oldest go to disk") {
   World w(true);
   const auto keep = [&](ResultId id, std::size_t tenant) {
     REQUIRE(w.logic.submitted(id, tenant, "h" + std::to_string(id), kNoReader, Micros{99'000'000}));
@@ -307,7 +310,8 @@
     return true;
   };
   ResultId id = 1;
-  for (; w.logic.memory().used() + 5000 <= w.logic.memory().high(); ++id) REQUIRE(keep(id, id % 4 == 0 ? 1 : 0));
+  for (; w.logic.memory().used() + 5000 <= w.logic.memory().high(); ++id)
+    REQUIRE(keep(id, id % 4 == 0 ? 1 : 0));
   CHECK(w.orders.empty());
   REQUIRE(keep(id, 0));
   REQUIRE(!w.orders.empty());
@@ -394,8 +398,9 @@
 TEST_CASE("spool: the states follow one another as they are drawn") {
   const State all[] = {State::kRunning, State::kFilling, State::kReady, State::kRead, State::kEnded};
   const std::set<std::pair<State, State>> drawn = {
-      {State::kRunning, State::kFilling}, {State::kFilling, State::kRunning}, {State::kFilling, State::kReady},
-      {State::kReady, State::kRead},      {State::kRunning, State::kEnded},   {State::kFilling, State::kEnded},
+      {State::kRunning, State::kFilling}, {State::kFilling, State::kRunning},
+      {State::kFilling, State::kReady},   {State::kReady, State::kRead},
+      {State::kRunning, State::kEnded},   {State::kFilling, State::kEnded},
       {State::kReady, State::kEnded},     {State::kRead, State::kEnded}};
   for (const State from : all) {
     for (const State to : all) CHECK(may_follow(from, to) == drawn.contains({from, to}));
--- a/tests/spool/store_test.cpp
+++ b/tests/spool/store_test.cpp
@@ -1,4 +1,5 @@
-// The segment store over a disk that fails: at every operation, in every way, and what the next process finds.
+// The segment store over a disk that fails: at every operation, in every way, and what the next process
+// finds.
 #include <catch2/catch.hpp>
 #include <set>
 
@@ -19,8 +20,7 @@
   std::vector<std::string> pages;
   for (std::size_t page = 0; page < count; ++page) {
     std::string text;
-    while (text.size() < 5000)
-      text += std::to_string(id * 7919 + page * 31 + text.size()) + "\tb\tc\n";
+    while (text.size() < 5000) text += std::to_string(id * 7919 + page * 31 + text.size()) + "\tb\tc\n";
     pages.push_back(text);
   }
   return pages;
--- a/tests/spool/story_test.cpp
+++ b/tests/spool/story_test.cpp
@@ -1,4 +1,5 @@
-// Stories of the spool over loopback: a coordinator, stand-in engines, and readers that stall, drop and return.
+// Stories of the spool over loopback: a coordinator, stand-in engines, and readers that stall, drop and
+// return.
 #include <signal.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -74,7 +75,6 @@
 
 std::uint64_t held(Site& site) { return site.server->spool()->bytes_held(); }
 
-
 }  // namespace
 
 TEST_CASE("spool: a long report is whole, the engine free, before the reader has read a row") {
@@ -111,13 +111,15 @@
       REQUIRE(part.field == 0);
       const std::uint64_t rows = std::stoull(part.at("got"));
       CHECK(rows >= 1);
-      CHECK(part.body.size() <= std::max<std::size_t>(100, std::min<std::size_t>(std::stoull(window), 65536)));
+      CHECK(part.body.size() <=
+            std::max<std::size_t>(100, std::min<std::size_t>(std::stoull(window), 65536)));
       CHECK(part.body == all.substr(starts[row], starts[row + rows] - starts[row]));
       CHECK((part.at("last") == "1") == (row + rows == 3000));
     }
   }
-  const Reply page = ask(site, *reader, "fetch",
-                         {{"handle", opened.at("handle")}, {"team", "acme"}, {"page", "49"}, {"window", "9"}});
+  const Reply page =
+      ask(site, *reader, "fetch",
+          {{"handle", opened.at("handle")}, {"team", "acme"}, {"page", "49"}, {"window", "9"}});
   CHECK(page.at("row") == "2940");
 }
 
@@ -267,10 +269,13 @@
   CHECK(ask(site, *stranger, "resume", {{"txn", kId}, {"team", "acme"}}).field == 0);
   CHECK(ask(site, *reader, "fetch", from_row(handle, 0)).at("code") == "other-reader");
   CHECK(ask(site, *stranger, "fetch", from_row(handle, 3000)).at("code") == "beyond");
-  CHECK(ask(site, *stranger, "fetch", {{"handle", handle}, {"team", "acme"}, {"page", "50"}}).at("code") == "beyond");
+  CHECK(ask(site, *stranger, "fetch", {{"handle", handle}, {"team", "acme"}, {"page", "50"}}).at("code") ==
+        "beyond");
   CHECK(ask(site, *stranger, "fetch", {{"handle", handle}, {"team", "acme"}}).at("code") == "unusable");
   CHECK(ask(site, *stranger, "fetch", from_row(handle, 0, "-1")).at("code") == "unusable");
-  CHECK(ask(site, *stranger, "acknowledge", {{"handle", handle}, {"team", "acme"}, {"rows", "x"}}).at("code") == "unusable");
+  CHECK(
+      ask(site, *stranger, "acknowledge", {{"handle", handle}, {"team", "acme"}, {"rows", "x"}}).at("code") ==
+      "unusable");
   CHECK(submit(site, *stranger, kId).at("reason") == "txn in use");
   CHECK(ask(site, *stranger, "release", {{"handle", handle}, {"team", "acme"}}).field == 0);
   CHECK(ask(site, *stranger, "fetch", from_row(handle, 0)).at("code") == "released");
@@ -321,8 +326,9 @@
 TEST_CASE("spool: one tenant's stalled readers leave the other its share") {
   Site::Options options = long_reports();
   options.change = [](nlohmann::json& config) { config["limits"]["sockets"] = 4096; };
-  options.conf = "spool {\n  listen 127.0.0.1:0\n  memory 4m reserved 60%\n  result-most 512k\n  sessions 500\n"
-                 "  unread-most 64k\n}\n";
+  options.conf =
+      "spool {\n  listen 127.0.0.1:0\n  memory 4m reserved 60%\n  result-most 512k\n  sessions 500\n"
+      "  unread-most 64k\n}\n";
   Site site(options);
   std::vector<std::unique_ptr<Client>> stalled;
   int full = 0;
@@ -349,7 +355,8 @@
     const Reply opened = submit(site, *reader, id, "report", "umbra");
     REQUIRE(opened.field == 0);
     REQUIRE_FALSE(opened.at("handle").empty());
-    CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60, "20000", "umbra") == whole(*site.script, id, 1));
+    CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60, "20000", "umbra") ==
+          whole(*site.script, id, 1));
     ask(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "umbra"}});
   }
   CHECK(held(site) <= 4u << 20);
@@ -365,8 +372,9 @@
   options.change = [](nlohmann::json& config) { config["limits"]["sockets"] = 8192; };
   options.script->rows = 1000;  // 100 KB: too long for a direct answer
   constexpr std::uint64_t kBudget = 32u << 20;
-  options.conf = "spool {\n  listen 127.0.0.1:0\n  memory 32m reserved 60%\n  result-most 512k\n  sessions 2500\n"
-                 "  unread-most 16k\n  lease 5s\n}\n";
+  options.conf =
+      "spool {\n  listen 127.0.0.1:0\n  memory 32m reserved 60%\n  result-most 512k\n  sessions 2500\n"
+      "  unread-most 16k\n  lease 5s\n}\n";
   Site site(options);
   std::vector<std::unique_ptr<Client>> stalled;
   int kept = 0;
@@ -376,7 +384,8 @@
       char id[17];
       std::snprintf(id, sizeof id, "%016x", 0xa0000 + i);
       stalled.push_back(site.reader());
-      stalled.back()->call("submit", 1, request(id, "report", "acme", 19000), "select * from lessons_3.hours");
+      stalled.back()->call("submit", 1, request(id, "report", "acme", 19000),
+                           "select * from lessons_3.hours");
     }
     for (int i = from; i < from + kAtATime; ++i) {
       Client& reader = *stalled[static_cast<std::size_t>(i)];
@@ -385,7 +394,8 @@
       // Asks for all of it over and over, and reads none.
       if (opened->field == 0) {
         ++kept;
-        for (int call = 2; call < 30; ++call) reader.call("fetch", call, from_row(opened->at("handle"), 0, "65536"));
+        for (int call = 2; call < 30; ++call)
+          reader.call("fetch", call, from_row(opened->at("handle"), 0, "65536"));
       } else {
         CHECK(opened->at("code") == "spool-full");
       }
@@ -396,12 +406,14 @@
   CHECK(kept > 200);
   CHECK(most <= kBudget);
   REQUIRE(site.until([&] { return site.open_sessions() == 0; }));
-  // Both kinds of query still have their answers: the other tenant's from its reserve, the direct ones from none.
+  // Both kinds of query still have their answers: the other tenant's from its reserve, the direct ones from
+  // none.
   const auto reader = site.reader();
   const std::string id = "00000000000000f0";
   const Reply opened = submit(site, *reader, id, "report", "umbra");
   REQUIRE(opened.field == 0);
-  CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60, "20000", "umbra") == whole(*site.script, id, 1));
+  CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60, "20000", "umbra") ==
+        whole(*site.script, id, 1));
   ask(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "umbra"}});
   for (const auto& client : stalled) client->reset();
   REQUIRE(site.until([&] { return held(site) == 0; }, std::chrono::seconds(60)));
@@ -460,7 +472,8 @@
   CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) == whole(*w.site->script, kId, 1));
   CHECK(held(*w.site) == 0);
   CHECK(ask(*w.site, *reader, "acknowledge",
-            {{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}}).field == 0);
+            {{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}})
+            .field == 0);
   REQUIRE(w.site->until([&] { return w.site->server->spool()->disk_idle(); }));
   CHECK(w.site->server->spool()->logic().disk().used() == 0);
   CHECK(w.disk->entries().empty());
@@ -589,7 +602,9 @@
   CHECK(submit(site, *reader, kId).field == 0);
 }
 
-TEST_CASE("spool: at SIGTERM without a disk unread results are still read, and the end waits no longer than leases") {
+TEST_CASE(
+    "spool: at SIGTERM without a disk unread results are still read, and the end waits no longer than "
+    "leases") {
   Site site(long_reports());
   const auto reader = site.reader();
   const Reply opened = submit(site, *reader, kId, "report", "acme", 3000);
@@ -605,8 +620,9 @@
   late.back() = '3';
   CHECK(submit(site, *reader, late).at("code") == "refused");
   CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60) == whole(*site.script, kId, 1));
-  CHECK(ask(site, *reader, "acknowledge",
-            {{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}}).field == 0);
+  CHECK(
+      ask(site, *reader, "acknowledge", {{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}})
+          .field == 0);
   CHECK_FALSE(site.server->io().stopped());
   REQUIRE(site.until([&] { return site.server->io().stopped(); }));
   const auto took = std::chrono::steady_clock::now() - start;
@@ -634,7 +650,8 @@
     log_ = ends[0];
     const std::string line = until("spool-listening address=");
     const std::size_t colon = line.rfind(':');
-    endpoint = {boost::asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(std::stoi(line.substr(colon + 1)))};
+    endpoint = {boost::asio::ip::address_v4::loopback(),
+                static_cast<std::uint16_t>(std::stoi(line.substr(colon + 1)))};
   }
   ~Process() {
     if (pid_ > 0) end(SIGKILL);
@@ -674,7 +691,8 @@
     Site site(options);
     site.kill();  // its engines, files and directory stay; the coordinator is a process of its own
     site.set_conf("spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n  disk " +
-                  site.folder.path("disk") + " 64m\n" + (signal == SIGKILL ? "  disk-above 1k\n" : "") + "}\n");
+                  site.folder.path("disk") + " 64m\n" + (signal == SIGKILL ? "  disk-above 1k\n" : "") +
+                  "}\n");
     auto process = std::make_unique<Process>(site);
     auto reader = std::make_unique<Client>(site.io, process->endpoint);
     const Reply opened = submit(site, *reader, kId, "report", "acme", 15000);
