--- a/src/choice.cpp
+++ b/src/gateway.cpp
@@ -1,5 +1,7 @@
 // Interface: include/steprail/gateway.h. This file holds every decision of steprail; docs/design.md says why.
 #define XXH_INLINE_ALL
+#include "steprail/gateway.h"
+
 #include <xxhash.h>
 
 #include <algorithm>
@@ -8,8 +10,6 @@
 #include <map>
 #include <random>
 
-#include "steprail/gateway.h"
-
 namespace steprail {
 namespace {
 
