--- a/tests/area_test.cpp
+++ b/tests/area_test.cpp
@@ -1,5 +1,5 @@
-// Loads hold their group of tables on an engine: which engines are kept for them, and how many loads are let
-// in.
+// A load holds its table group on its engine. Tests which engines are reserved for a group's loads, and how
+// many loads are admitted.
 #include <algorithm>
 #include <random>
 #include <set>
@@ -11,7 +11,7 @@
 
 constexpr int kLoad = 0, kLookup = 1;
 
-Settings warehouse(int gateways = 1, int own = 0) {
+Settings settings_with_loads(int gateways = 1, int gateway_number = 0) {
   Settings s = basic_settings();
   s.classes = {{.objective = 3s,
                 .aim_stretch = 2.5,
@@ -20,33 +20,35 @@
                 .load = true,
                 .threads = 2},
                {.objective = 800ms, .aim_stretch = 2, .hard_limit = 4s, .yields_to_load = true}};
-  s.gateways = gateways, s.own_number = own;
+  s.gateways = gateways, s.own_number = gateway_number;
   s.kinds = {{.cores = 64}};
   s.own_zone = -1, s.zone_count = 1;
   s.retry_after = true, s.max_retry_after = 5s;
   return s;
 }
 
-// A gateway whose engines stand at places of its own; a name is what an engine is called everywhere.
-struct Site {
-  Site(const Settings& settings, std::vector<int> names, std::uint64_t seed = 1)
+// A gateway that may list the engines in an order of its own. An engine's name is the same at all gateways,
+// its index is not.
+struct NamedEnginesFixture {
+  NamedEnginesFixture(const Settings& settings, std::vector<int> names, std::uint64_t seed = 1)
       : script(settings, 0, seed), names_(std::move(names)) {
-    list();
+    update_engine_list();
   }
-  void list(const std::set<int>& without = {}, const std::set<int>& cold = {}) {
+  void update_engine_list(const std::set<int>& without = {}, const std::set<int>& starting = {}) {
     ListNews news{.mode = ListMode::kFull, .entries = {}};
     for (std::size_t i = 0; i < names_.size(); ++i) {
       if (without.contains(names_[i])) continue;
       EngineEntry entry{.engine = static_cast<int>(i)};
       entry.name = 0x5bd1e995u * static_cast<std::uint64_t>(names_[i] + 1);
-      if (cold.contains(names_[i])) entry.came_up = script.now;
+      if (starting.contains(names_[i])) entry.came_up = script.now;
       news.entries.push_back(entry);
     }
     script.feed(news);
   }
-  // The name of the engine to which the query goes, where it is answered in its time; -1 where it is refused.
-  int ask(int cls, int group, double work) {
-    const RequestId id = next_++;
+  // Sends one query and answers it after its run time. Returns the name of its engine, or -1 if it was
+  // refused.
+  int run_query(int cls, int group, double work) {
+    const RequestId id = next_id_++;
     script.feed(Arrival{.id = id, .cls = cls, .left = 20s, .estimate_ms = work, .group = group});
     if (script.count<Refuse>() == 1) return -1;
     const int engine = script.at.at(id);
@@ -54,11 +56,12 @@
                  Micros{static_cast<std::int64_t>(work * 1000 / (cls == kLoad ? 2 : 1))}, work);
     return names_[static_cast<std::size_t>(engine)];
   }
-  // The engines to which loads of a group go that ask for so much holding a second, for so many seconds.
-  std::set<int> loads(int group, double holds, int seconds = 12) {
+  // Sends ten loads a second that would hold the group on `mean_held` engines at a time. Returns the names of
+  // the engines that they went to.
+  std::set<int> run_loads(int group, double mean_held, int seconds = 12) {
     std::set<int> used;
     for (int n = 0; n < 10 * seconds; ++n) {
-      used.insert(ask(kLoad, group, holds * 200));
+      used.insert(run_query(kLoad, group, mean_held * 200));
       script.wait(100ms);
     }
     used.erase(-1);
@@ -68,111 +71,113 @@
 
  private:
   std::vector<int> names_;
-  RequestId next_{1};
+  RequestId next_id_{1};
 };
 
-TEST(Area, GatewaysThatCannotSpeakToEachOtherKeepTheSameEngines) {
-  std::set<int> of_all;
+TEST(GroupLoads, AllGatewaysReserveTheSameEnginesWithoutMessages) {
+  std::set<int> all_used;
   for (int group = 0; group < 12; ++group) {
     std::vector<std::set<int>> used;
-    for (int own = 0; own < 3; ++own) {
+    for (int gateway_number = 0; gateway_number < 3; ++gateway_number) {
       std::vector<int> names{0, 1, 2, 3, 4, 5, 6, 7};
-      std::mt19937 shuffle(static_cast<unsigned>(own));
+      std::mt19937 shuffle(static_cast<unsigned>(gateway_number));
       std::shuffle(names.begin(), names.end(), shuffle);
-      Site site(warehouse(3, own), names, static_cast<std::uint64_t>(own + 1));
-      used.push_back(site.loads(group, 0.1));
+      NamedEnginesFixture fixture(settings_with_loads(3, gateway_number), names,
+                                  static_cast<std::uint64_t>(gateway_number + 1));
+      used.push_back(fixture.run_loads(group, 0.1));
     }
     EXPECT_EQ(used[0].size(), 1u) << group;
     EXPECT_EQ(used[0], used[1]) << group;
     EXPECT_EQ(used[0], used[2]) << group;
-    of_all.insert(used[0].begin(), used[0].end());
+    all_used.insert(used[0].begin(), used[0].end());
   }
-  EXPECT_GE(of_all.size(), 4u);  // groups are spread
+  EXPECT_GE(all_used.size(), 4u);  // the groups are spread over the engines
 }
 
-TEST(Area, AsManyEnginesAsTheLoadsNeedAndNeverAll) {
-  std::size_t before = 0;
-  for (const auto& [holds, least, most] : std::vector<std::tuple<double, std::size_t, std::size_t>>{
+TEST(GroupLoads, ReservesAsManyEnginesAsLoadsNeedButNeverAll) {
+  std::size_t previous_used = 0;
+  for (const auto& [mean_held, min_used, max_used] :
+       std::vector<std::tuple<double, std::size_t, std::size_t>>{
            {0.1, 1, 1}, {0.9, 2, 2}, {2.5, 4, 5}, {40, 7, 7}}) {
-    Site site(warehouse(), {0, 1, 2, 3, 4, 5, 6, 7});
-    // The first second is little to go by.
-    site.loads(5, holds, 4);
-    const std::size_t used = site.loads(5, holds).size();
-    EXPECT_GE(used, least) << holds;
-    EXPECT_LE(used, most) << holds;
-    EXPECT_GE(used, before);
-    before = used;
+    NamedEnginesFixture fixture(settings_with_loads(), {0, 1, 2, 3, 4, 5, 6, 7});
+    // Warm-up: the demand is not known yet in the first seconds.
+    fixture.run_loads(5, mean_held, 4);
+    const std::size_t used = fixture.run_loads(5, mean_held).size();
+    EXPECT_GE(used, min_used) << mean_held;
+    EXPECT_LE(used, max_used) << mean_held;
+    EXPECT_GE(used, previous_used);
+    previous_used = used;
   }
   // One of three gateways sees a third of the loads.
-  Site site(warehouse(3), {0, 1, 2, 3, 4, 5, 6, 7});
-  site.loads(5, 0.3, 4);
-  EXPECT_EQ(site.loads(5, 0.3).size(), 2u);
+  NamedEnginesFixture fixture(settings_with_loads(3), {0, 1, 2, 3, 4, 5, 6, 7});
+  fixture.run_loads(5, 0.3, 4);
+  EXPECT_EQ(fixture.run_loads(5, 0.3).size(), 2u);
 }
 
-TEST(Area, WhatYieldsToLoadsIsDrawnElsewhereAndOtherGroupsAreNot) {
-  Site site(warehouse(), {0, 1, 2, 3, 4, 5, 6, 7});
-  const std::set<int> kept = site.loads(5, 0.9);
-  int met = 0, others = 0;
+TEST(GroupLoads, YieldingQueriesAvoidOnlyTheEnginesReservedForTheirGroup) {
+  NamedEnginesFixture fixture(settings_with_loads(), {0, 1, 2, 3, 4, 5, 6, 7});
+  const std::set<int> reserved = fixture.run_loads(5, 0.9);
+  int on_own_group = 0, on_other_group = 0;
   for (int n = 0; n < 400; ++n) {
-    met += kept.contains(site.ask(kLookup, 5, 20));
-    others += kept.contains(site.ask(kLookup, 6, 20));
-    site.script.wait(10ms);
+    on_own_group += reserved.contains(fixture.run_query(kLookup, 5, 20));
+    on_other_group += reserved.contains(fixture.run_query(kLookup, 6, 20));
+    fixture.script.wait(10ms);
   }
-  EXPECT_LT(met, others / 2);
-  EXPECT_GE(others, 40);
+  EXPECT_LT(on_own_group, on_other_group / 2);
+  EXPECT_GE(on_other_group, 40);
 }
 
-TEST(Area, LoadsBeyondTheRoomAreRefusedAtOnceAndShortOnesGoFirst) {
+TEST(GroupLoads, ExcessLoadsAreRefusedAtOnceAndShortOnesArePreferred) {
   for (const int gateways : {1, 3}) {
-    Site site(warehouse(gateways), {0, 1, 2, 3, 4});
+    NamedEnginesFixture fixture(settings_with_loads(gateways), {0, 1, 2, 3, 4});
     std::mt19937 random(7);
     std::lognormal_distribution<double> work(std::log(2000.0), 0.7);
-    double let_in = 0, refused = 0, held = 0;
-    int in = 0, out = 0;
+    double admitted_work = 0, refused_work = 0, held_ms = 0;
+    int admitted_loads = 0, refused_loads = 0;
     for (int n = 0; n < 3000; ++n) {
-      const double w = std::min(20000.0, work(random));
-      const bool sent = site.ask(kLoad, 3, w) >= 0;
-      (sent ? let_in : refused) += w;
-      ++(sent ? in : out);
-      if (sent) held += w / 2;
-      EXPECT_TRUE(sent || site.script.first<Refuse>()->wait > 0us);
-      site.script.wait(20ms);
+      const double work_ms = std::min(20000.0, work(random));
+      const bool is_admitted = fixture.run_query(kLoad, 3, work_ms) >= 0;
+      (is_admitted ? admitted_work : refused_work) += work_ms;
+      ++(is_admitted ? admitted_loads : refused_loads);
+      if (is_admitted) held_ms += work_ms / 2;
+      EXPECT_TRUE(is_admitted || fixture.script.first<Refuse>()->wait > 0us);
+      fixture.script.wait(20ms);
     }
-    // Four engines for a minute and what was saved up at first, between the gateways.
-    EXPECT_LE(held, (60'000 + 4000) * 4 * 0.9 / gateways + 10'000);
-    EXPECT_GE(held, 60'000 * 4 * 0.9 / gateways * 0.8);
-    ASSERT_GT(in, 0);
-    ASSERT_GT(out, 0);
-    EXPECT_LT(let_in / in, 0.6 * refused / out);
+    // The allowance of four engines for a minute, plus the full one at the start, divided among the gateways.
+    EXPECT_LE(held_ms, (60'000 + 4000) * 4 * 0.9 / gateways + 10'000);
+    EXPECT_GE(held_ms, 60'000 * 4 * 0.9 / gateways * 0.8);
+    ASSERT_GT(admitted_loads, 0);
+    ASSERT_GT(refused_loads, 0);
+    EXPECT_LT(admitted_work / admitted_loads, 0.6 * refused_work / refused_loads);
   }
 }
 
-TEST(Area, ALoadOfAnySizeIsTakenWhereNoneOtherIs) {
-  Site site(warehouse(3), {0, 1, 2, 3, 4});
-  site.script.wait(1s);
-  EXPECT_GE(site.ask(kLoad, 2, 40'000), 0);
-  site.script.wait(60s);
-  EXPECT_GE(site.ask(kLoad, 2, 40'000), 0);
+TEST(GroupLoads, ALoadOfAnyLengthIsAdmittedWhileNoOtherRuns) {
+  NamedEnginesFixture fixture(settings_with_loads(3), {0, 1, 2, 3, 4});
+  fixture.script.wait(1s);
+  EXPECT_GE(fixture.run_query(kLoad, 2, 40'000), 0);
+  fixture.script.wait(60s);
+  EXPECT_GE(fixture.run_query(kLoad, 2, 40'000), 0);
 }
 
-TEST(Area, AnEngineThatIsLostMovesItsOwnGroupsAlone) {
+TEST(GroupLoads, ALostEngineMovesOnlyItsOwnGroups) {
   std::vector<int> names{0, 1, 2, 3, 4, 5, 6, 7};
-  int moved = 0;
+  int moved_groups = 0;
   for (int group = 0; group < 16; ++group) {
-    Site site(warehouse(), names);
-    const int first = *site.loads(group, 0.1, 6).begin();
-    site.list({3});
-    const int then = *site.loads(group, 0.1, 6).begin();
-    EXPECT_NE(then, 3);
-    EXPECT_TRUE(first == 3 || then == first) << group;
-    moved += first == 3;
-    // Back, and cold: no group's loads until it is warm, all of them after that.
-    site.list({}, {3});
-    EXPECT_EQ(site.loads(group, 0.1, 6), std::set<int>{then}) << group;
-    site.script.wait(16s);
-    EXPECT_EQ(site.loads(group, 0.1, 6), std::set<int>{first}) << group;
+    NamedEnginesFixture fixture(settings_with_loads(), names);
+    const int first_engine = *fixture.run_loads(group, 0.1, 6).begin();
+    fixture.update_engine_list({3});
+    const int engine_after_loss = *fixture.run_loads(group, 0.1, 6).begin();
+    EXPECT_NE(engine_after_loss, 3);
+    EXPECT_TRUE(first_engine == 3 || engine_after_loss == first_engine) << group;
+    moved_groups += first_engine == 3;
+    // The engine is back, in slow start: it gets no group's loads until that is over, and all its own after.
+    fixture.update_engine_list({}, {3});
+    EXPECT_EQ(fixture.run_loads(group, 0.1, 6), std::set<int>{engine_after_loss}) << group;
+    fixture.script.wait(16s);
+    EXPECT_EQ(fixture.run_loads(group, 0.1, 6), std::set<int>{first_engine}) << group;
   }
-  EXPECT_GE(moved, 1);
+  EXPECT_GE(moved_groups, 1);
 }
 
 }  // namespace
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -1,5 +1,5 @@
-// What is harmless in one gateway and harmful in all of them, one test for each failure met on the days of
-// the whole fleet.
+// Decisions that do no harm in one gateway but do in all gateways of a fleet at once. One test for each
+// failure that was met in runs of a whole fleet.
 #include <deque>
 #include <memory>
 #include <random>
@@ -9,7 +9,7 @@
 namespace steprail::testing {
 namespace {
 
-Settings fleet() {
+Settings fleet_settings() {
   Settings settings = basic_settings();
   settings.gateways = 300;
   settings.reports = Reports::kPiggyback;
@@ -21,11 +21,12 @@
   script.answer(id, delay, report);
 }
 
-// Engines that page have idle cores. Every gateway of a fleet took that for room, filled it, and made it
-// worse: what an engine says it holds has to close the door, whatever its cores do.
-TEST(Fleet, IdleCoresOfAnEngineFullOfWaitingQueriesAreNoRoom) {
+// The cores of an engine that pages memory are idle. Every gateway took that for free capacity and sent more,
+// which made it worse. The number of queries that an engine reports in hand has to stop admission, however
+// idle its cores.
+TEST(Fleet, QueriesInHandCountAsLoadEvenWhereCoresAreIdle) {
   for (const auto& [in_flight, admitted] : std::vector<std::pair<double, int>>{{60, 0}, {1, 1}}) {
-    Script script(fleet(), 20);
+    Script script(fleet_settings(), 20);
     RequestId id = 0;
     for (; id < 30; ++id) {
       script.arrive(id);
@@ -39,39 +40,41 @@
   }
 }
 
-// A query that is slow because all engines are gains nothing from beginning anew, and what it has had done is
-// lost. Each gateway moved what it had four times over, and the fleet did four times the work for no answer.
-TEST(Fleet, SlowQueriesAreMovedOnlyAsOftenAsAnswersAllow) {
-  Script script(fleet(), 20);
-  constexpr int kSlow = 12;
-  for (RequestId id = 0; id < kSlow; ++id) script.arrive(id, 100, 0, 20s);
-  const auto crawl = [&](RequestId id) {
+// A query that is slow because all engines are slow gains nothing from a retry and loses the work done so
+// far. Each gateway retried each of its queries four times, and the fleet did four times the work without an
+// answer.
+TEST(Fleet, RetriesOfSlowAttemptsAreLimitedByAnswers) {
+  Script script(fleet_settings(), 20);
+  constexpr int kSlowQueries = 12;
+  for (RequestId id = 0; id < kSlowQueries; ++id) script.arrive(id, 100, 0, 20s);
+  const auto report_slow_progress = [&](RequestId id) {
     for (int attempt = 0; attempt < script.attempts[id]; ++attempt)
       script.feed(Note{.id = id, .attempt = attempt, .engine = script.at[id], .amount = 0.01});
   };
-  int moved = 0;
+  int cancelled = 0;
   script.wait(500ms);
-  for (RequestId id = 0; id < kSlow; ++id) {
-    crawl(id);
-    moved += script.count<Cancel>();
+  for (RequestId id = 0; id < kSlowQueries; ++id) {
+    report_slow_progress(id);
+    cancelled += script.count<Cancel>();
   }
-  EXPECT_EQ(moved, 4);  // what the ration holds at the start
-  // Answers earn further ones, far fewer than they are themselves.
+  EXPECT_EQ(cancelled, 4);  // the credit for such retries at the start
+  // Ten answers earn credit for one more retry.
   for (RequestId id = 100; id < 110; ++id) {
     script.arrive(id);
     script.wait(1ms);
     answer(script, id, {.utilisation = 0.2, .in_flight = 1.0}, 1ms);
   }
-  moved = 0;
-  for (RequestId id = 0; id < kSlow; ++id) {
-    crawl(id);
-    moved += script.count<Cancel>();
+  cancelled = 0;
+  for (RequestId id = 0; id < kSlowQueries; ++id) {
+    report_slow_progress(id);
+    cancelled += script.count<Cancel>();
   }
-  EXPECT_LE(moved, 1);
+  EXPECT_LE(cancelled, 1);
 }
 
-// Serves queries on a calm fleet, so that its gateway believes in engines with so much in hand.
-RequestId hear(Script& script, RequestId id, int answers, double in_flight) {
+// Sends queries and answers them, each with a report of so many queries in hand, so that the gateway takes
+// this for the engines' load. Returns the next free id.
+RequestId run_answered_queries(Script& script, RequestId id, int answers, double in_flight) {
   for (int i = 0; i < answers; ++i, ++id) {
     script.arrive(id);
     if (script.count<Send>() == 0) continue;
@@ -81,16 +84,16 @@
   return id;
 }
 
-// Three hundred gateways hear the same of the same engines. Where each lets in all or nothing they swing
-// together; the part that they let in must fall with the load.
-TEST(Fleet, ThePartThatAllGatewaysLetInFallsWithTheLoadAndIsNeitherAllNorNothing) {
+// Three hundred gateways get the same reports of the same engines. If each admits all queries or none, the
+// load of the whole fleet oscillates; the part that they admit has to fall gradually with the load.
+TEST(Fleet, ThePartAdmittedByAllGatewaysFallsGraduallyWithTheLoad) {
   std::map<double, int> admitted;
   for (const double in_flight : {4.0, 12.0, 14.0, 16.0, 40.0}) {
-    for (int own = 0; own < 300; ++own) {
-      Settings settings = fleet();
-      settings.own_number = own;
-      Script script(settings, 40, static_cast<std::uint64_t>(own) + 1);
-      const RequestId id = hear(script, 0, 30, in_flight);
+    for (int gateway_number = 0; gateway_number < 300; ++gateway_number) {
+      Settings settings = fleet_settings();
+      settings.own_number = gateway_number;
+      Script script(settings, 40, static_cast<std::uint64_t>(gateway_number) + 1);
+      const RequestId id = run_answered_queries(script, 0, 30, in_flight);
       script.arrive(id);
       admitted[in_flight] += script.count<Send>();
     }
@@ -103,35 +106,37 @@
   EXPECT_LE(admitted[40], 15);
 }
 
-// Thin evidence: one gateway gets some answers a second. What it heard a minute ago, however often, must not
-// outweigh what it hears now.
-TEST(Fleet, WhatWasHeardLongAgoDoesNotOutweighNews) {
+// One gateway of many gets only some answers a second. Old reports, however many, must not outweigh a few
+// recent ones.
+TEST(Fleet, RecentReportsOutweighOldOnes) {
   int admitted = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    Script script(fleet(), 40, seed);
-    RequestId id = hear(script, 0, 400, 1);
+    Script script(fleet_settings(), 40, seed);
+    RequestId id = run_answered_queries(script, 0, 400, 1);
     script.wait(5s);
-    std::vector<RequestId> out;
-    for (int i = 0; i < 6; ++i) script.arrive(++id), out.push_back(id);
+    std::vector<RequestId> pending;
+    for (int i = 0; i < 6; ++i) script.arrive(++id), pending.push_back(id);
     script.wait(50ms);
-    for (const RequestId one : out) answer(script, one, {.utilisation = 0.2, .in_flight = 60.0}, 50ms);
+    for (const RequestId pending_id : pending)
+      answer(script, pending_id, {.utilisation = 0.2, .in_flight = 60.0}, 50ms);
     script.arrive(++id);
     admitted += script.count<Send>();
   }
   EXPECT_LE(admitted, 4);
 }
 
-// An attempt that cannot end in time is given up and answered at once: its engine is freed for those that
-// can. A fleet that works on for clients who are gone never gets out of an overload.
-TEST(Fleet, AnAttemptThatCannotEndInTimeIsGivenUpAndAnsweredAtOnce) {
+// An attempt that cannot end in time is cancelled and its request answered at once, so that its engine is
+// free for queries that can. A fleet that goes on working for clients that have given up never leaves an
+// overload.
+TEST(Fleet, AHopelessAttemptIsCancelledAndAnsweredAtOnce) {
   for (const Effect effect : {Effect::kRepeatable, Effect::kOnce}) {
-    Settings settings = fleet();
+    Settings settings = fleet_settings();
     settings.classes[0].effect = effect;
     settings.most_tries = 1;
     Script script(settings, 20);
     script.arrive(1, 100, 0, 4s);
     ASSERT_EQ(script.count<Send>(), 1);
-    // The whole time that the client has: silence and pace tell of what is lost, not a part of that time.
+    // No attempt timeout: missing progress messages and slow progress show a lost attempt instead.
     EXPECT_EQ(script.first<Send>()->patience, 0s);
     script.wait(1s);
     script.feed(Note{.id = 1, .attempt = 0, .engine = script.at[1], .amount = 0.2});
@@ -146,77 +151,82 @@
   }
 }
 
-// One engine starts cold before three hundred gateways, each with a part of what it can take that is under
-// one query, with traffic that is thin and uneven, and with seven in ten of them just started. All of them
-// together must not push it over, and must not starve it either.
-TEST(Fleet, AllGatewaysTogetherDoNotPushAColdEngineOver) {
-  constexpr int kGateways = 300, kEngines = 40, kCold = 0;
-  constexpr double kWork = 100;
+// One engine starts. Each of three hundred gateways has a share of its slow start budget that is under one
+// query, their traffic is sparse and uneven, and in the second run seven in ten of them have just started
+// themselves. All together must neither overload the engine nor starve it.
+TEST(Fleet, AllGatewaysTogetherDoNotOverloadAStartingEngine) {
+  constexpr int kGateways = 300, kEngines = 40, kStartingEngine = 0;
+  constexpr double kWorkMs = 100;
   constexpr Micros kStep = 10ms;
   for (const bool restarted : {false, true}) {
-    Settings settings = fleet();
+    Settings settings = fleet_settings();
     settings.overload_factor = 4;
     settings.fall_after = 1500ms;
     std::vector<std::unique_ptr<Script>> scripts;
-    std::vector<double> shares;
-    for (int own = 0; own < kGateways; ++own) {
-      settings.own_number = own;
-      scripts.push_back(std::make_unique<Script>(settings, kEngines, static_cast<std::uint64_t>(own) + 1));
-      shares.push_back(own % 10 == 0 ? 5 : own % 3 == 0 ? 1 : 0.5);
+    std::vector<double> traffic_shares;
+    for (int gateway_number = 0; gateway_number < kGateways; ++gateway_number) {
+      settings.own_number = gateway_number;
+      scripts.push_back(
+          std::make_unique<Script>(settings, kEngines, static_cast<std::uint64_t>(gateway_number) + 1));
+      traffic_shares.push_back(gateway_number % 10 == 0 ? 5 : gateway_number % 3 == 0 ? 1 : 0.5);
     }
     std::mt19937_64 random(7);
-    std::discrete_distribution<int> whose(shares.begin(), shares.end());
-    struct Out {
-      Micros until{0};
+    std::discrete_distribution<int> draw_gateway(traffic_shares.begin(), traffic_shares.end());
+    struct PendingAnswer {
+      Micros answered_at{0};
       int gateway{};
       RequestId id{};
     };
-    std::deque<Out> out;
-    std::vector<Micros> sent;
-    const Micros came_up = 2s, end = came_up + 5s;
-    RequestId next = 0;
-    int taken = 0, admitted = 0;
+    std::deque<PendingAnswer> pending;
+    std::vector<Micros> sent_at;
+    const Micros started_at = 2s, end = started_at + 5s;
+    RequestId next_id = 0;
+    int arrivals = 0, admitted = 0;
     for (Micros now = 1s; now < end; now += kStep) {
-      if (now == came_up) {
-        for (int own = 0; own < kGateways; ++own) {
-          auto& script = scripts[static_cast<std::size_t>(own)];
-          if (restarted && own % 10 < 7) {
-            settings.own_number = own;
-            script = std::make_unique<Script>(settings, kEngines, static_cast<std::uint64_t>(own) + 1000);
+      if (now == started_at) {
+        for (int gateway_number = 0; gateway_number < kGateways; ++gateway_number) {
+          auto& script = scripts[static_cast<std::size_t>(gateway_number)];
+          if (restarted && gateway_number % 10 < 7) {
+            settings.own_number = gateway_number;
+            script = std::make_unique<Script>(settings, kEngines,
+                                              static_cast<std::uint64_t>(gateway_number) + 1000);
             script->now = now;
-            std::erase_if(out, [own](const Out& o) { return o.gateway == own; });
+            std::erase_if(pending, [gateway_number](const PendingAnswer& entry) {
+              return entry.gateway == gateway_number;
+            });
           }
-          script->feed(
-              ListNews{.mode = ListMode::kIncremental, .entries = {{.engine = kCold, .came_up = now}}});
+          script->feed(ListNews{.mode = ListMode::kIncremental,
+                                .entries = {{.engine = kStartingEngine, .came_up = now}}});
         }
       }
       for (auto& script : scripts) script->wait(now - script->now);
-      while (!out.empty() && out.front().until <= now) {
-        Script& script = *scripts[static_cast<std::size_t>(out.front().gateway)];
-        const bool cold = script.at[out.front().id] == kCold;
-        answer(script, out.front().id, {.utilisation = cold ? 0.2 : 0.6, .in_flight = cold ? 1.0 : 5.0});
-        out.pop_front();
+      while (!pending.empty() && pending.front().answered_at <= now) {
+        Script& script = *scripts[static_cast<std::size_t>(pending.front().gateway)];
+        const bool starting = script.at[pending.front().id] == kStartingEngine;
+        answer(script, pending.front().id,
+               {.utilisation = starting ? 0.2 : 0.6, .in_flight = starting ? 1.0 : 5.0});
+        pending.pop_front();
       }
       for (int i = 0; i < 20; ++i) {
-        const int gateway = whose(random);
+        const int gateway = draw_gateway(random);
         Script& script = *scripts[static_cast<std::size_t>(gateway)];
-        script.arrive(++next, kWork);
-        ++taken;
+        script.arrive(++next_id, kWorkMs);
+        ++arrivals;
         if (script.count<Send>() == 0) continue;
         ++admitted;
-        out.push_back({now + 100ms, gateway, next});
-        if (script.at[next] == kCold && now >= came_up) sent.push_back(now);
+        pending.push_back({now + 100ms, gateway, next_id});
+        if (script.at[next_id] == kStartingEngine && now >= started_at) sent_at.push_back(now);
       }
     }
-    // What it can do at its coldest, for the length of a window.
+    // What the engine survives at the beginning of its slow start, for the length of one overload window.
     const double budget = settings.overload_factor * settings.kinds[0].cores * settings.cold_from * 1500;
-    std::size_t from = 0;
-    for (std::size_t to = 0; to < sent.size(); ++to) {
-      while (sent[to] - sent[from] > settings.fall_after) ++from;
-      EXPECT_LT(kWork * static_cast<double>(to - from + 1), budget) << restarted;
+    std::size_t window_begin = 0;
+    for (std::size_t window_end = 0; window_end < sent_at.size(); ++window_end) {
+      while (sent_at[window_end] - sent_at[window_begin] > settings.fall_after) ++window_begin;
+      EXPECT_LT(kWorkMs * static_cast<double>(window_end - window_begin + 1), budget) << restarted;
     }
-    EXPECT_GT(sent.size(), 30u) << restarted;
-    EXPECT_GT(admitted, taken * 9 / 10) << restarted;
+    EXPECT_GT(sent_at.size(), 30u) << restarted;
+    EXPECT_GT(admitted, arrivals * 9 / 10) << restarted;
   }
 }
 
