--- a/src/gateway.cpp
+++ b/src/gateway.cpp
@@ -19,7 +19,7 @@
 
 // ---- Constants: dimensionless, or times that the design itself names ----
 
-// Sampling period of the PI loop (sections 2 and 4), as the design names it.
+// Sampling period of the PI loop, as the design names it; also the unit of several waits.
 constexpr Micros kControlPeriod{1'000'000};
 // Housekeeping: fine compared with the control period, coarse compared with network latency.
 constexpr Micros kTickInterval = kControlPeriod / 10;
