--- a/src/config.cpp
+++ b/src/config.cpp
@@ -40,10 +40,11 @@
   const json& params = from.at("settings");
   config.settings = read_settings(params, config.tables);
   validate(config.settings);
-  config.engines.multiplex = std::max(1, optional_field(params.at("limits"), "multiplex", 1));
+  config.engines.max_attempts_per_connection =
+      std::max(1, optional_field(params.at("limits"), "multiplex", 1));
   config.engines.connect_timeout = config.settings.connect_timeout;
-  config.engines.idle = micros(params.at("limits"), "conn_idle_us");
-  config.engines.reports = config.settings.reports != Reports::kSilent;
+  config.engines.idle_timeout = micros(params.at("limits"), "conn_idle_us");
+  config.engines.request_load_reports = config.settings.reports != Reports::kSilent;
   return config;
 }
 
--- a/src/net/buffers.h
+++ b/src/net/buffers.h
@@ -1,4 +1,4 @@
-// The two ends of a connection's bytes: what has come and is parsed in place, and what waits to be written.
+// A connection's buffers: received bytes, which are parsed in place, and bytes that wait to be written.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -12,31 +12,32 @@
 
 namespace steprail {
 
-class InBuffer {
+class InputBuffer {
  public:
   std::string_view view() const { return {bytes_.data() + begin_, end_ - begin_}; }
   void consume(std::size_t count) {
     begin_ += count;
     if (begin_ == end_) begin_ = end_ = 0;
   }
-  // Room for the next read. What is parsed already goes first; the rest moves only when space runs out.
-  boost::asio::mutable_buffer room() {
-    constexpr std::size_t kLeast = 2048;
-    if (bytes_.size() - end_ < kLeast && begin_ > 0) {
+  // Returns space for the next read. Bytes already parsed are dropped first; the rest moves only if space
+  // runs out.
+  boost::asio::mutable_buffer prepare() {
+    constexpr std::size_t kMinReadBytes = 2048;
+    if (bytes_.size() - end_ < kMinReadBytes && begin_ > 0) {
       std::copy(bytes_.begin() + static_cast<std::ptrdiff_t>(begin_),
                 bytes_.begin() + static_cast<std::ptrdiff_t>(end_), bytes_.begin());
       end_ -= begin_;
       begin_ = 0;
     }
-    if (bytes_.size() - end_ < kLeast) bytes_.resize(std::max(2 * kLeast, 2 * bytes_.size()));
+    if (bytes_.size() - end_ < kMinReadBytes) bytes_.resize(std::max(2 * kMinReadBytes, 2 * bytes_.size()));
     return boost::asio::buffer(bytes_.data() + end_, bytes_.size() - end_);
   }
-  void filled(std::size_t count) { end_ += count; }
+  void commit(std::size_t count) { end_ += count; }
   std::size_t capacity() const { return bytes_.size(); }
-  // What one long message needed is given back once nothing is left to parse.
+  // Frees the memory that a long message needed once nothing is left to parse.
   void shrink() {
-    constexpr std::size_t kKept = 16 << 10;
-    if (begin_ == end_ && bytes_.size() > kKept) *this = {};
+    constexpr std::size_t kMaxRetainedBytes = 16 << 10;
+    if (begin_ == end_ && bytes_.size() > kMaxRetainedBytes) *this = {};
   }
 
  private:
@@ -44,15 +45,15 @@
   std::size_t begin_{0}, end_{0};
 };
 
-class OutQueue {
+class OutputQueue {
  public:
-  // A tag (not 0) names a piece that may be taken back while none of it has left.
+  // A tag other than 0 names a piece that withdraw() can remove as long as none of it has been sent.
   void push(std::string piece, std::uint64_t tag = 0) {
     if (piece.empty()) return;
     size_ += piece.size();
     pieces_.push_back({std::move(piece), tag});
   }
-  // Bytes that others hold as well: they are written from where they are.
+  // Bytes with other owners as well; they are written without a copy.
   void push(std::shared_ptr<const std::string> shared, std::size_t from, std::size_t to) {
     if (from >= to) return;
     size_ += to - from;
@@ -61,44 +62,44 @@
   }
   bool empty() const { return pieces_.empty(); }
   std::size_t size() const { return size_; }
-  std::size_t own_size() const { return size_ - shared_size_; }
+  std::size_t unshared_size() const { return size_ - shared_size_; }
 
-  // What one gathered write takes.
+  // The buffers for one gathered write.
   const std::vector<boost::asio::const_buffer>& gather() {
-    constexpr std::size_t kMost = 64;
+    constexpr std::size_t kMaxBuffersPerWrite = 64;
     gathered_.clear();
-    for (std::size_t i = 0; i < pieces_.size() && i < kMost; ++i) {
+    for (std::size_t i = 0; i < pieces_.size() && i < kMaxBuffersPerWrite; ++i) {
       const std::string_view bytes = pieces_[i].view();
       gathered_.push_back(boost::asio::buffer(bytes.data(), bytes.size()));
     }
-    if (!gathered_.empty()) gathered_.front() += sent_;
+    if (!gathered_.empty()) gathered_.front() += front_sent_;
     return gathered_;
   }
 
-  void sent(std::size_t count) {
+  void mark_sent(std::size_t count) {
     size_ -= count;
-    count += sent_;
+    count += front_sent_;
     while (!pieces_.empty() && count >= pieces_.front().view().size()) {
       const Piece& front = pieces_.front();
       count -= front.view().size();
       if (front.shared()) shared_size_ -= front.view().size();
       pieces_.pop_front();
     }
-    sent_ = count;
+    front_sent_ = count;
   }
 
-  // True if the piece is still here, in part at least: its peer cannot have seen it whole.
-  bool holds(std::uint64_t tag) const {
+  // True if at least part of the piece is still queued: the peer cannot have received it completely.
+  bool contains(std::uint64_t tag) const {
     for (const Piece& piece : pieces_) {
       if (piece.tag == tag) return true;
     }
     return false;
   }
 
-  // Takes a piece back of which nothing has left yet.
-  bool take_back(std::uint64_t tag) {
+  // Removes a piece of which no byte has been sent yet.
+  bool withdraw(std::uint64_t tag) {
     for (auto at = pieces_.begin(); at != pieces_.end(); ++at) {
-      if (at->tag != tag || (at == pieces_.begin() && sent_ > 0)) continue;
+      if (at->tag != tag || (at == pieces_.begin() && front_sent_ > 0)) continue;
       size_ -= at->view().size();
       pieces_.erase(at);
       return true;
@@ -108,7 +109,7 @@
 
  private:
   struct Shared {
-    std::shared_ptr<const std::string> whole;
+    std::shared_ptr<const std::string> text;
     std::size_t from{0}, to{0};
   };
   struct Piece {
@@ -118,12 +119,12 @@
     std::string_view view() const {
       if (const auto* own = std::get_if<std::string>(&bytes)) return *own;
       const Shared& part = std::get<Shared>(bytes);
-      return std::string_view(*part.whole).substr(part.from, part.to - part.from);
+      return std::string_view(*part.text).substr(part.from, part.to - part.from);
     }
   };
   std::deque<Piece> pieces_;
   std::vector<boost::asio::const_buffer> gathered_;
-  std::size_t sent_{0};  // of the first piece
+  std::size_t front_sent_{0};  // bytes of the first piece that have been sent
   std::size_t size_{0}, shared_size_{0};
 };
 
--- a/src/net/directory.h
+++ b/src/net/directory.h
@@ -1,4 +1,5 @@
-// The list of engines: its events as JSON, and the stream that brings them.
+// Follows the list of engines: reads its events (JSON) from the configuration and from the directory's
+// stream.
 #pragma once
 
 #include <boost/asio/coroutine.hpp>
@@ -16,16 +17,17 @@
 
 class Directory {
  public:
-  // An engine that is gone for longer than `reference` is in nobody's hands any more.
+  // The number of an engine that has been gone for longer than `forget_after` is reused: neither a request
+  // nor the module may refer to it any more by then.
   Directory(Strand strand, Coordinator& coordinator, EventLog& log, Tables& tables, tcp::endpoint source,
-            Micros reference, std::uint64_t seed);
+            Micros forget_after, std::uint64_t seed);
 
-  // The events of the start, as the configuration holds them.
-  void load(const nlohmann::json& known);
+  // Applies the events that the configuration holds for the start.
+  void load_saved(const nlohmann::json& saved);
   void follow();
-  // The directory has another address now; what it had told before still holds.
+  // Follows the directory at another address from now on. The list as reported so far stays valid.
   void move_to(const tcp::endpoint& source);
-  std::int64_t last() const { return last_; }
+  std::int64_t last_index() const { return last_index_; }
 
  private:
   struct Row {
@@ -33,11 +35,11 @@
     EngineChange change;
   };
   void run(boost::system::error_code error = {}, std::size_t count = 0);
-  void again(const std::string& why);
-  bool take_lines();
-  void take(std::string_view line);
+  void reconnect(const std::string& why);
+  bool handle_lines();
+  void handle_line(std::string_view line);
   void apply(const nlohmann::json& event, bool first);
-  void forget_gone();
+  void forget_gone_engines();
   Row read_row(const nlohmann::json& row);
 
   Strand strand_;
@@ -46,18 +48,18 @@
   Tables& tables_;
   tcp::endpoint source_;
   tcp::socket socket_;
-  boost::asio::steady_timer silence_, pause_;
-  boost::asio::coroutine state_;
-  std::uint64_t life_{0};  // which connection a handler belongs to
-  InBuffer in_;
-  std::string hello_;
-  std::int64_t last_{0};
-  Micros reference_;
+  boost::asio::steady_timer silence_timer_, reconnect_timer_;
+  boost::asio::coroutine coroutine_;
+  std::uint64_t generation_{0};  // tells callbacks of an earlier connection apart
+  InputBuffer in_;
+  std::string follow_command_;
+  std::int64_t last_index_{0};
+  Micros forget_after_;
   Backoff backoff_;
-  std::map<int, Micros> gone_;         // since when
-  std::unordered_map<int, Row> rows_;  // as last told
-  int bad_{0};                         // lines in a row that could not be read
-  bool failing_{false};
+  std::map<int, Micros> gone_since_;   // when the engine was first listed as gone
+  std::unordered_map<int, Row> rows_;  // by the engine's number, as last reported
+  int bad_lines_{0};                   // in a row that could not be parsed
+  bool loss_logged_{false};
 };
 
 }  // namespace steprail
--- a/src/net/engine_line.cpp
+++ b/src/net/engine_line.cpp
@@ -6,27 +6,29 @@
 namespace steprail {
 namespace {
 
-constexpr std::size_t kLongestLine = 1024;
-constexpr std::int64_t kLongestBody = 6000;  // of a page
-constexpr std::string_view kEnd = "\r\n";
-
-constexpr std::pair<std::string_view, Word> kWords[] = {
-    {"ACK", Word::kAck},     {"AGAIN", Word::kAgain}, {"EIO", Word::kEio},     {"STALE", Word::kStale},
-    {"EVENT", Word::kEvent}, {"BLOCK", Word::kBlock}, {"READY", Word::kReady}, {"AILING", Word::kAiling}};
-
-// Cuts the text before the first `separator` off the front of `text`.
-std::string_view cut(std::string_view& text, char separator) {
+constexpr std::size_t kMaxLineBytes = 1024;
+constexpr std::int64_t kMaxBodyBytes = 6000;  // of one page
+constexpr std::string_view kLineEnd = "\r\n";
+
+constexpr std::pair<std::string_view, AnswerKind> kAnswerKinds[] = {
+    {"ACK", AnswerKind::kAck},     {"AGAIN", AnswerKind::kAgain},  {"EIO", AnswerKind::kEio},
+    {"STALE", AnswerKind::kStale}, {"EVENT", AnswerKind::kEvent},  {"BLOCK", AnswerKind::kBlock},
+    {"READY", AnswerKind::kReady}, {"AILING", AnswerKind::kAiling}};
+
+// Removes the text before the first `separator`, and the separator, from the front of `text` and returns the
+// text.
+std::string_view split_off(std::string_view& text, char separator) {
   const std::size_t at = text.find(separator);
   const std::string_view head = text.substr(0, at);
   text.remove_prefix(at == std::string_view::npos ? text.size() : at + 1);
   return head;
 }
 
-// A report's values under the sockets' names for them, or those of the settings.
-bool read_report(std::string_view text, LoadReport& report) {
+// Accepts both the names of the socket protocol and those of the settings.
+bool parse_report(std::string_view text, LoadReport& report) {
   while (!text.empty()) {
-    std::string_view pair = cut(text, ';');
-    const std::string_view name = cut(pair, ':');
+    std::string_view pair = split_off(text, ';');
+    const std::string_view name = split_off(pair, ':');
     const auto value = parse_number(pair);
     if (!value) return false;
     if (name == "util" || name == "load_share") report.utilisation = value;
@@ -38,23 +40,23 @@
   return true;
 }
 
-bool read_fields(std::string_view text, EngineAnswer& answer) {
+bool parse_fields(std::string_view text, EngineAnswer& answer) {
   if (text == "-") return true;
   while (!text.empty()) {
-    std::string_view value = cut(text, ',');
-    const std::string_view name = cut(value, '=');
+    std::string_view value = split_off(text, ',');
+    const std::string_view name = split_off(value, '=');
     if (name == "rep") {
-      if (!read_report(value, answer.report)) return false;
+      if (!parse_report(value, answer.report)) return false;
     } else if (name == "count" || name == "pos") {
       const auto number = parse_count(value);
       if (!number) return false;
-      (name == "count" ? answer.count : answer.position) = *number;
+      (name == "count" ? answer.page_count : answer.page) = *number;
     } else if (name == "why") {
-      answer.why = value;
+      answer.note_kind = value;
     } else if (name == "reading") {
       const auto number = parse_number(value);
       if (!number) return false;
-      answer.reading = *number;
+      answer.note_value = *number;
     }
   }
   return true;
@@ -62,14 +64,14 @@
 
 }  // namespace
 
-std::string_view name_of(Word word) {
-  for (const auto& [name, known] : kWords) {
-    if (known == word) return name;
+std::string_view name_of(AnswerKind kind) {
+  for (const auto& [name, known] : kAnswerKinds) {
+    if (known == kind) return name;
   }
   return "?";
 }
 
-std::optional<RequestId> parse_id(std::string_view text) {
+std::optional<RequestId> parse_request_id(std::string_view text) {
   RequestId id = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), id, 16);
   if (text.size() != 16 || error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
@@ -90,36 +92,37 @@
   return value;
 }
 
-Parsed parse_answer(std::string_view bytes, EngineAnswer& answer, std::size_t& used) {
-  const std::size_t end = bytes.substr(0, kLongestLine).find(kEnd);
-  if (end == std::string_view::npos) return bytes.size() >= kLongestLine ? Parsed::kBad : Parsed::kMore;
+ParseStatus parse_answer(std::string_view bytes, EngineAnswer& answer, std::size_t& consumed) {
+  const std::size_t end = bytes.substr(0, kMaxLineBytes).find(kLineEnd);
+  if (end == std::string_view::npos)
+    return bytes.size() >= kMaxLineBytes ? ParseStatus::kMalformed : ParseStatus::kIncomplete;
   std::string_view line = bytes.substr(0, end);
   answer = {};
-  answer.id = cut(line, ' ');
-  const std::string_view word = cut(line, ' ');
-  const std::string_view fields = cut(line, ' ');
+  answer.id = split_off(line, ' ');
+  const std::string_view word = split_off(line, ' ');
+  const std::string_view fields = split_off(line, ' ');
   const auto length = parse_count(line);
-  if (answer.id.empty() || !length || *length > kLongestBody) return Parsed::kBad;
-  const auto* known = std::begin(kWords);
-  while (known != std::end(kWords) && known->first != word) ++known;
-  if (known == std::end(kWords) || !read_fields(fields, answer)) return Parsed::kBad;
-  answer.word = known->second;
-  const std::size_t from = end + kEnd.size();
+  if (answer.id.empty() || !length || *length > kMaxBodyBytes) return ParseStatus::kMalformed;
+  const auto* known = std::begin(kAnswerKinds);
+  while (known != std::end(kAnswerKinds) && known->first != word) ++known;
+  if (known == std::end(kAnswerKinds) || !parse_fields(fields, answer)) return ParseStatus::kMalformed;
+  answer.kind = known->second;
+  const std::size_t from = end + kLineEnd.size();
   const auto body = static_cast<std::size_t>(*length);
-  if (bytes.size() < from + body + kEnd.size()) return Parsed::kMore;
-  if (bytes.substr(from + body, kEnd.size()) != kEnd) return Parsed::kBad;
+  if (bytes.size() < from + body + kLineEnd.size()) return ParseStatus::kIncomplete;
+  if (bytes.substr(from + body, kLineEnd.size()) != kLineEnd) return ParseStatus::kMalformed;
   answer.body = bytes.substr(from, body);
-  used = from + body + kEnd.size();
-  return Parsed::kWhole;
+  consumed = from + body + kLineEnd.size();
+  return ParseStatus::kComplete;
 }
 
-bool whole_rows(std::string_view page) {
-  constexpr int kTabs = 2;  // of three columns
+bool has_only_whole_rows(std::string_view page) {
+  constexpr int kTabsPerRow = 2;  // three columns
   int tabs = 0;
   for (const char c : page) {
     if (c == '\t') ++tabs;
     if (c != '\n') continue;
-    if (tabs != kTabs) return false;
+    if (tabs != kTabsPerRow) return false;
     tabs = 0;
   }
   return page.empty() || page.back() == '\n';
@@ -130,7 +133,7 @@
   const auto ttl = std::max<std::int64_t>(1, dispatch.patience.count() / 1000);
   std::string command = "serve " + query.name + " lane=" + query.class_name + ",ttl=" + std::to_string(ttl) +
                         ' ' + std::to_string(query.statement.size()) + "\r\n";
-  return command.append(query.statement).append(kEnd);
+  return command.append(query.statement).append(kLineEnd);
 }
 
 }  // namespace steprail
--- a/src/net/engine_line.h
+++ b/src/net/engine_line.h
@@ -1,4 +1,5 @@
-// The engines' protocol: lines of words, the last of which may announce bytes that follow.
+// The engines' text protocol: lines of words separated by blanks; the last word may give the length of a body
+// that follows the line.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +11,32 @@
 
 namespace steprail {
 
-enum class Word { kAck, kAgain, kEio, kStale, kEvent, kBlock, kReady, kAiling };
+enum class AnswerKind { kAck, kAgain, kEio, kStale, kEvent, kBlock, kReady, kAiling };
 
-// One answer of an engine; it points into the buffer that it was read from.
+// One answer of an engine. Its views point into the buffer that it was parsed from.
 struct EngineAnswer {
   std::string_view id;
-  Word word{};
+  AnswerKind kind{};
   std::string_view body;
-  std::int64_t count{-1};     // ACK: the number of all pages
-  std::int64_t position{-1};  // BLOCK: the page's number
-  std::string_view why;       // EVENT: the kind of note ...
-  double reading{};           // ... and what it says
+  std::int64_t page_count{-1};  // ACK: of the whole result
+  std::int64_t page{-1};        // BLOCK: number of the page
+  std::string_view note_kind;   // EVENT: kind of the note
+  double note_value{};          // EVENT: value of the note
   LoadReport report;
 };
 
-enum class Parsed { kWhole, kMore, kBad };
-// Reads one answer from the start of `bytes`; when it is there whole, `used` says how long it is.
-Parsed parse_answer(std::string_view bytes, EngineAnswer& answer, std::size_t& used);
+enum class ParseStatus { kComplete, kIncomplete, kMalformed };
+// Parses one answer at the start of `bytes`. `consumed` is its length if it is complete.
+ParseStatus parse_answer(std::string_view bytes, EngineAnswer& answer, std::size_t& consumed);
 
-std::string_view name_of(Word word);  // as it stands on the wire
+std::string_view name_of(AnswerKind kind);  // as on the wire
 
-std::optional<RequestId> parse_id(std::string_view text);  // 16 hex digits
+std::optional<RequestId> parse_request_id(std::string_view text);  // 16 hex digits
 std::optional<double> parse_number(std::string_view text);
-std::optional<std::int64_t> parse_count(std::string_view text);  // zero or more
+std::optional<std::int64_t> parse_count(std::string_view text);  // not negative
 
-// A page holds whole rows: three columns with a tab between them, and a line feed behind each row.
-bool whole_rows(std::string_view page);
+// A row has three columns separated by tabs and ends with a line feed.
+bool has_only_whole_rows(std::string_view page);
 
 std::string serve_command(const Dispatch& dispatch);
 
--- a/src/net/engine_pool.cpp
+++ b/src/net/engine_pool.cpp
@@ -12,21 +12,23 @@
 using boost::system::error_code;
 
 namespace {
-constexpr Micros kSweep{100'000};
-// An answer whose first byte is here has been sent: the rest is a matter of milliseconds. A page comes when
-// it is asked for, at once. What stays away for so long does not come.
-constexpr Micros kAnswerMost{500'000};
-constexpr Micros kPagesWait{1'500'000};
-constexpr Micros kProbePatience{1'000'000};
-constexpr double kIdlePart = 0.7;      // of the idle time, after which a connection is not used again
-constexpr Micros kSilence{1'000'000};  // of a connection on which an attempt was then given up
-constexpr std::size_t kOwnPart = 2;    // of the connections serve to give attempts one of their own
-constexpr std::size_t kShared =
-    4;  // attempts on a connection before the next one is opened, where they share
-constexpr std::int64_t kPagesMost = 1024;
-constexpr std::size_t kResultMost = 48'000;
-constexpr std::size_t kWindow = 16;           // pages of a long result that are asked for and not yet here
-constexpr std::size_t kUnsentMost = 4 << 20;  // commands that an engine does not read
+constexpr Micros kSweepInterval{100'000};
+// An engine sends an answer as a whole, so the rest follows the first byte within milliseconds. It sends a
+// page as soon as the page is requested. Neither arrives any more after this long.
+constexpr Micros kPartialAnswerTimeout{500'000};
+constexpr Micros kPageTimeout{1'500'000};
+constexpr Micros kProbeTimeout{1'000'000};
+constexpr double kMaxIdleFraction = 0.7;  // of the idle timeout; after that a connection is not used again
+// A connection on which an attempt was given up is closed if nothing was received on it for this long.
+constexpr Micros kMaxSilence{1'000'000};
+// Once this part of the connections (1/2) is open, attempts share them.
+constexpr std::size_t kExclusiveDivisor = 2;
+// on one connection before another one is opened, where attempts share connections
+constexpr std::size_t kMaxSharedAttempts = 4;
+constexpr std::int64_t kMaxPages = 1024;
+constexpr std::size_t kMaxResultBytes = 48'000;
+constexpr std::size_t kPageWindow = 16;  // pages of a long result that are requested and not yet received
+constexpr std::size_t kMaxUnsentBytes = 4 << 20;  // commands that an engine does not read
 }  // namespace
 
 std::optional<tcp::endpoint> parse_address(const std::string& text) {
@@ -41,16 +43,21 @@
 
 #include <boost/asio/yield.hpp>
 
-// One connection. An attempt on it is `live` until its end is known or it is given up. On the wire all
-// attempts of a request have one id, and an answer names nothing else. So an id is sent at most once on a
-// connection: after an attempt that did not bring the result it stays `retired` for as long as its request
-// may be sent again, and further answers to that attempt (second copies, errors of further pages, an answer
-// that crossed the cancel) end no later one.
-class EnginePool::Line : public std::enable_shared_from_this<Line>, boost::asio::coroutine {
+// One connection. An attempt is in flight on it until its end is known or it is given up. On the wire all
+// attempts of a request have the same id, and an answer carries nothing else to tell them apart. So an id is
+// sent at most once on a connection: after an attempt without a result, the id stays retired for as long as
+// its request may be sent again. Late answers to that attempt (duplicates, errors for further pages, an
+// answer that crossed the cancel) can then not end a later attempt.
+class EnginePool::Connection : public std::enable_shared_from_this<Connection>, boost::asio::coroutine {
  public:
-  Line(EnginePool& pool, int engine, std::uint64_t number, const tcp::endpoint& to)
-      : pool_(pool), engine_(engine), number_(number), to_(to), socket_(pool.strand_), limit_(pool.strand_) {
-    opened_ = used_ = pool_.coordinator_.now();
+  Connection(EnginePool& pool, int engine, std::uint64_t number, const tcp::endpoint& endpoint)
+      : pool_(pool),
+        engine_(engine),
+        number_(number),
+        endpoint_(endpoint),
+        socket_(pool.strand_),
+        connect_timer_(pool.strand_) {
+    opened_at_ = last_used_at_ = pool_.coordinator_.now();
   }
 
   void run(error_code error = {}, std::size_t count = 0) {
@@ -58,103 +65,106 @@
     if (error) return close(error == boost::asio::error::eof ? "closed by the engine" : error.message());
     const auto next = [self = shared_from_this()](error_code e, std::size_t n = 0) { self->run(e, n); };
     reenter(this) {
-      limit_.expires_after(pool_.limits_.connect_timeout);
-      limit_.async_wait([self = shared_from_this()](error_code e) {
-        if (!e && !self->up_) self->close("no connection in time");
+      connect_timer_.expires_after(pool_.limits_.connect_timeout);
+      connect_timer_.async_wait([self = shared_from_this()](error_code e) {
+        if (!e && !self->connected_) self->close("no connection in time");
       });
-      yield socket_.async_connect(to_, [next](error_code e) { next(e); });
-      up_ = true;
-      limit_.cancel();
-      set_options();
+      yield socket_.async_connect(endpoint_, [next](error_code e) { next(e); });
+      connected_ = true;
+      connect_timer_.cancel();
+      set_socket_options();
       write();
       for (;;) {
-        yield socket_.async_read_some(in_.room(), next);
-        in_.filled(count);
-        heard_ = pool_.coordinator_.now();
-        if (!take_answers()) return spoilt("unreadable answer");
+        yield socket_.async_read_some(in_.prepare(), next);
+        in_.commit(count);
+        last_received_at_ = pool_.coordinator_.now();
+        if (!process_input()) return close_untrusted("unreadable answer");
         in_.shrink();
       }
     }
   }
 
-  bool can_take(std::optional<RequestId> id) const {
-    if (closed_ || slots_.size() >= pool_.limits_.multiplex) return false;
-    if (idle_for() > kIdlePart) return false;
-    return !id || (!slots_.contains(*id) && !retired_.contains(*id));
-  }
-  Micros used() const { return used_; }
-  bool idle() const { return slots_.empty() && probes_.empty(); }
-  std::size_t live() const { return slots_.size(); }
-  // Carries what must not run twice: nothing joins it that could spoil its answer.
-  bool alone() const {
-    return std::any_of(slots_.begin(), slots_.end(), [](const auto& entry) { return entry.second.alone; });
-  }
-  Micros opened() const { return opened_; }
-
-  void serve(const Dispatch& dispatch) {
-    Slot slot;
-    slot.name = dispatch.query.name;
-    slot.attempt = dispatch.attempt;
-    slot.tag = ++last_tag_;
-    slot.sent = pool_.coordinator_.now();
-    slot.deadline = dispatch.query.taken + dispatch.query.limit;
-    slot.sink = dispatch.query.sink;
-    slot.result_most = slot.sink != nullptr ? dispatch.query.result_most : kResultMost;
-    slot.alone = pool_.runs_once(dispatch.query);
+  bool can_send(std::optional<RequestId> id) const {
+    if (closed_ || in_flight_.size() >= pool_.limits_.max_attempts_per_connection) return false;
+    if (idle_fraction() > kMaxIdleFraction) return false;
+    return !id || (!in_flight_.contains(*id) && !retired_until_.contains(*id));
+  }
+  Micros last_used_at() const { return last_used_at_; }
+  bool idle() const { return in_flight_.empty() && probes_.empty(); }
+  std::size_t in_flight_count() const { return in_flight_.size(); }
+  // Carries an attempt that must not run twice. Other attempts avoid the connection, as they could break it
+  // and lose that one's answer.
+  bool exclusive() const {
+    return std::any_of(in_flight_.begin(), in_flight_.end(),
+                       [](const auto& entry) { return entry.second.exclusive; });
+  }
+  Micros opened_at() const { return opened_at_; }
+
+  void send(const Dispatch& dispatch) {
+    PendingAttempt pending;
+    pending.name = dispatch.query.name;
+    pending.attempt = dispatch.attempt;
+    pending.tag = ++last_tag_;
+    pending.sent_at = pool_.coordinator_.now();
+    pending.deadline = dispatch.query.taken + dispatch.query.limit;
+    pending.sink = dispatch.query.sink;
+    pending.max_bytes = pending.sink != nullptr ? dispatch.query.result_most : kMaxResultBytes;
+    pending.exclusive = pool_.runs_at_most_once(dispatch.query);
     pool_.log_.event(
         Level::kDebug, "queued",
-        {{"id", slot.name}, {"attempt", slot.attempt}, {"engine", engine_}, {"connection", number_}});
-    slots_.emplace(dispatch.query.id, std::move(slot));
+        {{"id", pending.name}, {"attempt", pending.attempt}, {"engine", engine_}, {"connection", number_}});
+    in_flight_.emplace(dispatch.query.id, std::move(pending));
     out_.push(serve_command(dispatch), last_tag_);
-    mark();
+    schedule_write();
   }
 
   void give_up(RequestId id, int attempt) {
-    const auto at = slots_.find(id);
-    if (at == slots_.end() || at->second.attempt != attempt) return;
-    const Slot slot = std::move(at->second);
-    slots_.erase(at);
-    used_ = pool_.coordinator_.now();
-    if (out_.take_back(slot.tag)) return;
-    if (slot.sink != nullptr) slot.sink->lost(id, attempt);
-    // Nothing at all was heard here for long: what has swallowed one answer is of no use to the next request.
-    if (idle() && used_ - std::max(heard_, slot.sent) > kSilence) return close({});
-    command(slot.count == 0 ? "cancel" : "release", slot);
-    retire(id, slot);
+    const auto at = in_flight_.find(id);
+    if (at == in_flight_.end() || at->second.attempt != attempt) return;
+    const PendingAttempt pending = std::move(at->second);
+    in_flight_.erase(at);
+    last_used_at_ = pool_.coordinator_.now();
+    if (out_.withdraw(pending.tag)) return;
+    if (pending.sink != nullptr) pending.sink->lost(id, attempt);
+    // An engine or connection that silently lost one answer would lose the next one as well.
+    if (idle() && last_used_at_ - std::max(last_received_at_, pending.sent_at) > kMaxSilence)
+      return close({});
+    push_command(pending.page_count == 0 ? "cancel" : "release", pending);
+    retire(id, pending);
   }
 
   void probe(std::uint64_t number) {
     probes_.emplace(number, pool_.coordinator_.now());
-    out_.push((pool_.limits_.reports ? "gauges " : "health ") + probe_name(number) + "\r\n");
-    mark();
+    out_.push((pool_.limits_.request_load_reports ? "gauges " : "health ") + probe_name(number) + "\r\n");
+    schedule_write();
   }
 
-  // The engine takes nothing new: what has not begun to leave stays here.
-  void take_back_unsent() {
+  // The engine accepts no new attempts: withdraws the commands of which no byte has been sent.
+  void withdraw_unsent() {
     std::vector<std::pair<RequestId, int>> unsent;
-    for (const auto& [id, slot] : slots_) {
-      if (out_.take_back(slot.tag)) unsent.emplace_back(id, slot.attempt);
+    for (const auto& [id, pending] : in_flight_) {
+      if (out_.withdraw(pending.tag)) unsent.emplace_back(id, pending.attempt);
     }
     for (const auto& [id, attempt] : unsent) {
-      slots_.erase(id);
-      pool_.never_written(id, attempt, EndCause::kDrained);
+      in_flight_.erase(id);
+      pool_.end_unsent_attempt(id, attempt, EndCause::kDrained);
     }
   }
 
   void write() {
     dirty_ = false;
-    while (!closed_ && up_ && !out_.empty() && !waiting_) {
+    while (!closed_ && connected_ && !out_.empty() && !write_blocked_) {
       error_code error;
       const std::size_t count = socket_.write_some(out_.gather(), error);
-      out_.sent(count);
+      out_.mark_sent(count);
       if (error == boost::asio::error::would_block || error == boost::asio::error::try_again) {
-        if (out_.size() > kUnsentMost) {
-          lost_by_ = EndCause::kCommandsUnread;
-          return close("commands are left unread");
+        if (out_.size() > kMaxUnsentBytes) {
+          close_cause_ = EndCause::kCommandsUnread;
+          return close("commands are left unread by the engine");
         }
-        waiting_ = true;
+        write_blocked_ = true;
         socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code e) {
-          self->waiting_ = false;
+          self->write_blocked_ = false;
           if (!e) self->write();
         });
       } else if (error) {
@@ -164,144 +174,148 @@
   }
 
   void sweep(Micros now) {
-    std::vector<std::uint64_t> late;
-    for (const auto& [number, sent] : probes_) {
-      if (now - sent > kProbePatience) late.push_back(number);
+    std::vector<std::uint64_t> timed_out;
+    for (const auto& [number, sent_at] : probes_) {
+      if (now - sent_at > kProbeTimeout) timed_out.push_back(number);
     }
-    for (const std::uint64_t number : late) probe_ended(number, false, {});
-    std::erase_if(retired_, [now](const auto& entry) { return now > entry.second; });
-    const bool gone = pool_.engines_[static_cast<std::size_t>(engine_)].standing == Standing::kGone;
-    if (idle() && up_ && (gone || idle_for() > kIdlePart)) return close({});
-    if (partial_since_.count() > 0 && now - partial_since_ > kAnswerMost) return spoilt("cut answer");
-    for (const auto& [_, slot] : slots_) {
-      if (slot.missing > 0 && now - slot.moved > kPagesWait) return spoilt("no page in time");
+    for (const std::uint64_t number : timed_out) finish_probe(number, false, {});
+    std::erase_if(retired_until_, [now](const auto& entry) { return now > entry.second; });
+    const bool engine_gone = pool_.engines_[static_cast<std::size_t>(engine_)].standing == Standing::kGone;
+    if (idle() && connected_ && (engine_gone || idle_fraction() > kMaxIdleFraction)) return close({});
+    if (partial_since_.count() > 0 && now - partial_since_ > kPartialAnswerTimeout)
+      return close_untrusted("incomplete answer not continued in time");
+    for (const auto& [_, pending] : in_flight_) {
+      if (pending.missing > 0 && now - pending.last_page_at > kPageTimeout)
+        return close_untrusted("no page in time");
     }
   }
 
-  // The peer broke the protocol, or off within an answer: nothing that follows on this connection can be
-  // trusted. The engine was there to answer all the same, so that this is no sign of its health.
-  void spoilt(const std::string& reason) {
-    lost_by_ = EndCause::kSpoiltAnswer;
+  // The engine broke the protocol or stopped within an answer, so nothing that follows on this connection can
+  // be trusted. The engine did answer, so this does not count against its health.
+  void close_untrusted(const std::string& reason) {
+    close_cause_ = EndCause::kSpoiltAnswer;
     close(reason);
   }
 
-  void replaced() {
-    lost_by_ = EndCause::kEngineReplaced;
-    close("the engine has started anew");
+  void close_replaced() {
+    close_cause_ = EndCause::kEngineReplaced;
+    close("the engine was restarted or has moved");
   }
 
-  // With a reason: worth a line in the log. Attempts on it end here.
+  // Ends the attempts in flight on this connection. A reason other than "" is logged if attempts were lost or
+  // the connection was never established.
   void close(const std::string& reason) {
     if (std::exchange(closed_, true)) return;
     const auto self = shared_from_this();
-    if (!reason.empty() && (live() > 0 || !up_))
+    if (!reason.empty() && (in_flight_count() > 0 || !connected_))
       pool_.log_.line("engine " + std::to_string(engine_) + ": connection lost with " +
-                      std::to_string(live()) + " attempts: " + reason);
+                      std::to_string(in_flight_count()) + " attempts: " + reason);
     pool_.log_.event(Level::kDebug, "connection_closed",
                      {{"connection", number_},
                       {"engine", engine_},
-                      {"attempts", live()},
+                      {"attempts", in_flight_count()},
                       {"why", reason.empty() ? "not needed" : reason}});
     error_code ignored;
     socket_.close(ignored);
-    limit_.cancel();
-    pool_.drop(engine_, this);
-    const auto slots = std::exchange(slots_, {});
-    for (const auto& [id, slot] : slots) {
-      if (slot.sink != nullptr) slot.sink->lost(id, slot.attempt);
-      // What the engine cannot have read whole never ran; of the rest nobody knows.
-      const bool unwritten = !up_ || out_.holds(slot.tag);
-      const Outcome lost = lost_by_ == EndCause::kSpoiltAnswer ? Outcome::kAppError : Outcome::kDropped;
-      end(id, slot, unwritten ? Outcome::kDialFailed : lost, up_ ? lost_by_ : EndCause::kNoConnection, {},
-          {});
+    connect_timer_.cancel();
+    pool_.remove_connection(engine_, this);
+    const auto attempts = std::exchange(in_flight_, {});
+    for (const auto& [id, pending] : attempts) {
+      if (pending.sink != nullptr) pending.sink->lost(id, pending.attempt);
+      // What the engine cannot have received completely never ran. Whether the others ran is unknown.
+      const bool unwritten = !connected_ || out_.contains(pending.tag);
+      const Outcome lost_outcome =
+          close_cause_ == EndCause::kSpoiltAnswer ? Outcome::kAppError : Outcome::kDropped;
+      report_end(id, pending, unwritten ? Outcome::kDialFailed : lost_outcome,
+                 connected_ ? close_cause_ : EndCause::kNoConnection, {}, {});
     }
     const auto probes = std::exchange(probes_, {});
-    for (const auto& [number, sent] : probes)
-      pool_.coordinator_.probed({engine_, false, pool_.coordinator_.now() - sent, {}});
+    for (const auto& [number, sent_at] : probes)
+      pool_.coordinator_.probed({engine_, false, pool_.coordinator_.now() - sent_at, {}});
   }
 
  private:
-  struct Slot {
+  struct PendingAttempt {
     std::string name;
     int attempt{};
     std::uint64_t tag{};
-    Micros sent{0};
-    bool alone{};
-    Micros deadline{0};  // of the request; its id is not sent again after that
+    Micros sent_at{0};
+    bool exclusive{};
+    Micros deadline{0};  // of the request; the id is not sent again after that
     PageSink* sink{};
-    std::size_t result_most{};
-    std::size_t count{};             // of the pages, once it was acknowledged
-    std::vector<std::string> pages;  // without a sink: all of them, those missing empty
-    std::vector<bool> have;
+    std::size_t max_bytes{};
+    std::size_t page_count{};        // 0 until the attempt is acknowledged
+    std::vector<std::string> pages;  // without a sink: of the whole result; those not yet received are empty
+    std::vector<bool> received;
     std::size_t missing{};
-    std::size_t asked{};  // pages up to this one have been asked for
+    std::size_t requested{};  // pages before this one have been requested
     std::size_t bytes{};
-    Micros moved{0};  // when the last page of it came
+    Micros last_page_at{0};  // when the last page was received
     LoadReport report;
   };
 
-  // A connection that carries nothing, as a part of the time after which engines close it.
-  double idle_for() const {
-    if (!idle() || pool_.limits_.idle.count() <= 0) return 0;
-    return static_cast<double>((pool_.coordinator_.now() - used_).count()) /
-           static_cast<double>(pool_.limits_.idle.count());
+  // Idle time as a fraction of the timeout after which engines close an idle connection.
+  double idle_fraction() const {
+    if (!idle() || pool_.limits_.idle_timeout.count() <= 0) return 0;
+    return static_cast<double>((pool_.coordinator_.now() - last_used_at_).count()) /
+           static_cast<double>(pool_.limits_.idle_timeout.count());
   }
 
   static std::string probe_name(std::uint64_t number) { return "probe" + std::to_string(number); }
-  void command(const char* verb, const Slot& slot) {
-    out_.push(std::string(verb) + ' ' + slot.name + "\r\n");
-    mark();
+  void push_command(const char* verb, const PendingAttempt& pending) {
+    out_.push(std::string(verb) + ' ' + pending.name + "\r\n");
+    schedule_write();
   }
-  void mark() {
+  void schedule_write() {
     if (std::exchange(dirty_, true)) return;
     pool_.dirty_.push_back(shared_from_this());
     pool_.coordinator_.wake();
   }
-  void set_options() {
+  void set_socket_options() {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
     socket_.non_blocking(true, ignored);
   }
 
-  void retire(RequestId id, const Slot& slot) { retired_[id] = slot.deadline; }
+  void retire(RequestId id, const PendingAttempt& pending) { retired_until_[id] = pending.deadline; }
 
-  void end(RequestId id, const Slot& slot, Outcome outcome, EndCause cause, const LoadReport& report,
-           std::vector<std::string> pages) {
-    pool_.where_.erase(id);
-    pool_.coordinator_.attempt_ended({id, slot.attempt, outcome, cause, report, std::move(pages)});
+  void report_end(RequestId id, const PendingAttempt& pending, Outcome outcome, EndCause cause,
+                  const LoadReport& report, std::vector<std::string> pages) {
+    pool_.connection_by_request_.erase(id);
+    pool_.coordinator_.attempt_ended({id, pending.attempt, outcome, cause, report, std::move(pages)});
   }
 
-  // The attempt's end in the engine's own words. The report is a copy: it may stand in the slot that goes
-  // here.
-  void finished(std::unordered_map<RequestId, Slot>::iterator at, Outcome outcome, EndCause cause,
-                LoadReport report) {
+  // Ends the attempt as the engine's answer says. The report is passed by value: it may be part of the entry
+  // that is erased here.
+  void finish_attempt(std::unordered_map<RequestId, PendingAttempt>::iterator at, Outcome outcome,
+                      EndCause cause, LoadReport report) {
     const RequestId id = at->first;
-    Slot slot = std::move(at->second);
-    slots_.erase(at);
-    used_ = pool_.coordinator_.now();
-    if (outcome != Outcome::kDelivered) retire(id, slot);
-    if (outcome != Outcome::kDelivered && slot.sink != nullptr) slot.sink->lost(id, slot.attempt);
-    end(id, slot, outcome, cause, report,
-        outcome == Outcome::kDelivered ? std::move(slot.pages) : std::vector<std::string>{});
+    PendingAttempt pending = std::move(at->second);
+    in_flight_.erase(at);
+    last_used_at_ = pool_.coordinator_.now();
+    if (outcome != Outcome::kDelivered) retire(id, pending);
+    if (outcome != Outcome::kDelivered && pending.sink != nullptr) pending.sink->lost(id, pending.attempt);
+    report_end(id, pending, outcome, cause, report,
+               outcome == Outcome::kDelivered ? std::move(pending.pages) : std::vector<std::string>{});
   }
 
-  void probe_ended(std::uint64_t number, bool delivered, const LoadReport& report) {
+  void finish_probe(std::uint64_t number, bool delivered, const LoadReport& report) {
     const auto at = probes_.find(number);
     if (at == probes_.end()) return;
     const Micros delay = pool_.coordinator_.now() - at->second;
     probes_.erase(at);
-    used_ = pool_.coordinator_.now();
+    last_used_at_ = pool_.coordinator_.now();
     pool_.coordinator_.probed({engine_, delivered, delay, report});
   }
 
-  bool take_answers() {
+  bool process_input() {
     EngineAnswer answer;
-    std::size_t used = 0;
+    std::size_t consumed = 0;
     for (;;) {
-      const Parsed parsed = parse_answer(in_.view(), answer, used);
-      if (parsed == Parsed::kMore) break;
-      if (parsed == Parsed::kBad || !take(answer)) return false;
-      in_.consume(used);
+      const ParseStatus status = parse_answer(in_.view(), answer, consumed);
+      if (status == ParseStatus::kIncomplete) break;
+      if (status == ParseStatus::kMalformed || !handle_answer(answer)) return false;
+      in_.consume(consumed);
       partial_since_ = Micros{0};
       if (closed_) return true;
     }
@@ -309,155 +323,162 @@
     return true;
   }
 
-  // False if the answer shows that what the engine says on this connection cannot be relied on. An answer
-  // under an id that is not (or no longer) open here is readable, and no reason to lose the others.
-  bool take(const EngineAnswer& answer) {
-    if (answer.word == Word::kReady || answer.word == Word::kAiling) {
-      constexpr std::string_view kName = "probe";
-      const auto number = answer.id.substr(0, kName.size()) == kName
-                              ? parse_count(answer.id.substr(kName.size()))
+  // Returns false if the answer shows that the engine's answers on this connection cannot be trusted. An
+  // answer with an id that is not (or no longer) in flight here is well-formed and no reason to lose the
+  // other attempts.
+  bool handle_answer(const EngineAnswer& answer) {
+    if (answer.kind == AnswerKind::kReady || answer.kind == AnswerKind::kAiling) {
+      constexpr std::string_view kProbePrefix = "probe";
+      const auto number = answer.id.substr(0, kProbePrefix.size()) == kProbePrefix
+                              ? parse_count(answer.id.substr(kProbePrefix.size()))
                               : std::nullopt;
       if (number)
-        probe_ended(static_cast<std::uint64_t>(*number), answer.word == Word::kReady, answer.report);
+        finish_probe(static_cast<std::uint64_t>(*number), answer.kind == AnswerKind::kReady, answer.report);
       return true;
     }
-    const auto id = parse_id(answer.id);
-    const auto at = id ? slots_.find(*id) : slots_.end();
-    if (at == slots_.end()) {
-      passed_over(answer);
+    const auto id = parse_request_id(answer.id);
+    const auto at = id ? in_flight_.find(*id) : in_flight_.end();
+    if (at == in_flight_.end()) {
+      log_ignored_answer(answer);
       return true;
     }
-    Slot& slot = at->second;
-    switch (answer.word) {
-      case Word::kAck:
-        return acknowledged(at, answer);
-      case Word::kAgain:
-      case Word::kStale:
-        // What was acknowledged has run: this is no proof of the contrary.
-        if (slot.count > 0) return false;
-        finished(at, Outcome::kShed,
-                 answer.word == Word::kAgain ? EndCause::kEngineFull : EndCause::kEngineStale, answer.report);
+    PendingAttempt& pending = at->second;
+    switch (answer.kind) {
+      case AnswerKind::kAck:
+        return handle_ack(at, answer);
+      case AnswerKind::kAgain:
+      case AnswerKind::kStale:
+        // An acknowledged attempt has run, so this answer cannot prove that it did not.
+        if (pending.page_count > 0) return false;
+        finish_attempt(at, Outcome::kShed,
+                       answer.kind == AnswerKind::kAgain ? EndCause::kEngineFull : EndCause::kEngineStale,
+                       answer.report);
         return true;
-      case Word::kEio:
-        finished(at, Outcome::kAppError, EndCause::kEngineError, answer.report);
+      case AnswerKind::kEio:
+        finish_attempt(at, Outcome::kAppError, EndCause::kEngineError, answer.report);
         return true;
-      case Word::kEvent:
-        note(*id, slot, answer);
+      case AnswerKind::kEvent:
+        report_note(*id, pending, answer);
         return true;
-      case Word::kBlock:
-        return block(at, answer);
+      case AnswerKind::kBlock:
+        return handle_block(at, answer);
       default:
         return false;
     }
   }
 
-  // It belongs to no attempt that is out.
-  void passed_over(const EngineAnswer& answer) {
+  // The answer belongs to no attempt in flight.
+  void log_ignored_answer(const EngineAnswer& answer) {
     pool_.log_.event(
         Level::kDebug, "passed_over",
-        {{"id", answer.id}, {"word", name_of(answer.word)}, {"engine", engine_}, {"connection", number_}});
+        {{"id", answer.id}, {"word", name_of(answer.kind)}, {"engine", engine_}, {"connection", number_}});
   }
 
-  void note(RequestId id, const Slot& slot, const EngineAnswer& answer) {
-    Note note{id, slot.attempt, engine_, Topic::kProgress, answer.reading};
-    if (answer.why == "overflow") {
+  void report_note(RequestId id, const PendingAttempt& pending, const EngineAnswer& answer) {
+    Note note{id, pending.attempt, engine_, Topic::kProgress, answer.note_value};
+    if (answer.note_kind == "overflow") {
       note.topic = Topic::kSpills;
-    } else if (answer.why == "queued") {
+    } else if (answer.note_kind == "queued") {
       note.topic = Topic::kWaits;
-    } else if (answer.why != "pct") {
+    } else if (answer.note_kind != "pct") {
       return;
     }
     pool_.coordinator_.noted(note);
   }
 
-  bool acknowledged(std::unordered_map<RequestId, Slot>::iterator at, const EngineAnswer& answer) {
-    Slot& slot = at->second;
-    const std::int64_t count = answer.count;
-    if (slot.count > 0) return true;  // a second copy
-    // A page of a long result holds a row at least, and a row two bytes.
-    const auto most = slot.sink != nullptr
-                          ? std::max(kPagesMost, static_cast<std::int64_t>(slot.result_most / 2))
-                          : kPagesMost;
-    if (count < 1 || count > most || !whole_rows(answer.body)) return false;
-    slot.count = static_cast<std::size_t>(count);
-    if (slot.sink == nullptr) slot.pages.resize(slot.count);
-    slot.have.resize(slot.count);
-    slot.missing = slot.count;
-    slot.asked = 1;
-    slot.report = answer.report;
-    return taken(at, 0, answer.body);
-  }
-
-  bool block(std::unordered_map<RequestId, Slot>::iterator at, const EngineAnswer& answer) {
-    Slot& slot = at->second;
-    const auto page = static_cast<std::size_t>(answer.position);
-    if (answer.position < 1 || page >= slot.count) return false;
-    if (slot.have[page]) return true;  // a second copy
-    if (!whole_rows(answer.body)) return false;
-    return taken(at, page, answer.body);
-  }
-
-  // A page that is new, and what follows from it.
-  bool taken(std::unordered_map<RequestId, Slot>::iterator at, std::size_t page, std::string_view bytes) {
-    Slot& slot = at->second;
-    slot.have[page] = true;
-    slot.moved = pool_.coordinator_.now();
-    slot.bytes += bytes.size();
-    --slot.missing;
-    if (slot.sink == nullptr) {
-      if (slot.bytes > slot.result_most) return false;
-      slot.pages[page] = bytes;
+  bool handle_ack(std::unordered_map<RequestId, PendingAttempt>::iterator at, const EngineAnswer& answer) {
+    PendingAttempt& pending = at->second;
+    const std::int64_t page_count = answer.page_count;
+    if (pending.page_count > 0) return true;  // a duplicate
+    // A page of a long result holds at least one row, and a row takes at least two bytes.
+    const auto max_pages = pending.sink != nullptr
+                               ? std::max(kMaxPages, static_cast<std::int64_t>(pending.max_bytes / 2))
+                               : kMaxPages;
+    if (page_count < 1 || page_count > max_pages || !has_only_whole_rows(answer.body)) return false;
+    pending.page_count = static_cast<std::size_t>(page_count);
+    if (pending.sink == nullptr) pending.pages.resize(pending.page_count);
+    pending.received.resize(pending.page_count);
+    pending.missing = pending.page_count;
+    pending.requested = 1;
+    pending.report = answer.report;
+    return accept_page(at, 0, answer.body);
+  }
+
+  bool handle_block(std::unordered_map<RequestId, PendingAttempt>::iterator at, const EngineAnswer& answer) {
+    PendingAttempt& pending = at->second;
+    const auto page = static_cast<std::size_t>(answer.page);
+    if (answer.page < 1 || page >= pending.page_count) return false;
+    if (pending.received[page]) return true;  // a duplicate
+    if (!has_only_whole_rows(answer.body)) return false;
+    return accept_page(at, page, answer.body);
+  }
+
+  // Stores a new page, then ends the attempt or requests further pages.
+  bool accept_page(std::unordered_map<RequestId, PendingAttempt>::iterator at, std::size_t page,
+                   std::string_view bytes) {
+    PendingAttempt& pending = at->second;
+    pending.received[page] = true;
+    pending.last_page_at = pool_.coordinator_.now();
+    pending.bytes += bytes.size();
+    --pending.missing;
+    if (pending.sink == nullptr) {
+      if (pending.bytes > pending.max_bytes) return false;
+      pending.pages[page] = bytes;
     } else {
-      const auto want = page == 0 ? slot.sink->begin(at->first, slot.attempt, slot.count, bytes)
-                                  : slot.sink->page(at->first, slot.attempt, page, bytes);
+      const auto want = page == 0 ? pending.sink->begin(at->first, pending.attempt, pending.page_count, bytes)
+                                  : pending.sink->page(at->first, pending.attempt, page, bytes);
       if (want == PageSink::Want::kEnough) {
-        if (slot.missing > 0) command("release", slot);
-        slot.missing = 0;
+        if (pending.missing > 0) push_command("release", pending);
+        pending.missing = 0;
       }
     }
-    if (slot.missing == 0) {
-      finished(at, Outcome::kDelivered, EndCause::kAnswered, slot.report);
+    if (pending.missing == 0) {
+      finish_attempt(at, Outcome::kDelivered, EndCause::kAnswered, pending.report);
       return true;
     }
-    ask(slot);
+    request_pages(pending);
     return true;
   }
 
-  // Without a sink all pages are asked for at once: they are few. A long result comes in a bounded window, so
-  // that neither its engine nor this side has to hold much of it.
-  void ask(Slot& slot) {
-    const std::size_t have = slot.count - slot.missing;
-    const std::size_t until = slot.sink == nullptr ? slot.count : std::min(slot.count, have + kWindow);
-    if (until <= slot.asked) return;
-    std::string reads;
-    for (; slot.asked < until; ++slot.asked)
-      reads += "read " + slot.name + ' ' + std::to_string(slot.asked) + "\r\n";
-    out_.push(std::move(reads));
-    mark();
+  // Without a sink the pages are few and all are requested at once. A long result is requested in a bounded
+  // window, so that neither the engine nor this process has to buffer much of it.
+  void request_pages(PendingAttempt& pending) {
+    const std::size_t received_count = pending.page_count - pending.missing;
+    const std::size_t until = pending.sink == nullptr
+                                  ? pending.page_count
+                                  : std::min(pending.page_count, received_count + kPageWindow);
+    if (until <= pending.requested) return;
+    std::string commands;
+    for (; pending.requested < until; ++pending.requested)
+      commands += "read " + pending.name + ' ' + std::to_string(pending.requested) + "\r\n";
+    out_.push(std::move(commands));
+    schedule_write();
   }
 
   EnginePool& pool_;
   int engine_;
   std::uint64_t number_;  // of this connection, for the log
-  tcp::endpoint to_;
+  tcp::endpoint endpoint_;
   tcp::socket socket_;
-  boost::asio::steady_timer limit_;
-  InBuffer in_;
-  OutQueue out_;
-  std::unordered_map<RequestId, Slot> slots_;      // of the attempts that are out
-  std::unordered_map<RequestId, Micros> retired_;  // ids that are not sent here again, and until when
+  boost::asio::steady_timer connect_timer_;
+  InputBuffer in_;
+  OutputQueue out_;
+  std::unordered_map<RequestId, PendingAttempt> in_flight_;  // attempts by their request
+  // ids that are not sent on this connection again before that time
+  std::unordered_map<RequestId, Micros> retired_until_;
   std::unordered_map<std::uint64_t, Micros> probes_;
   std::uint64_t last_tag_{0};
-  Micros opened_{0}, used_{0}, heard_{0};
-  Micros partial_since_{0};  // of an answer that is not whole yet; 0: none
-  bool up_{false}, closed_{false}, dirty_{false}, waiting_{false};
-  EndCause lost_by_{EndCause::kConnectionLost};  // what ends the attempts that are out when it closes
+  Micros opened_at_{0}, last_used_at_{0}, last_received_at_{0};
+  Micros partial_since_{0};  // when an incomplete answer was first seen; 0: there is none
+  bool connected_{false}, closed_{false}, dirty_{false}, write_blocked_{false};
+  // reported for the attempts in flight when the connection closes
+  EndCause close_cause_{EndCause::kConnectionLost};
 };
 
 #include <boost/asio/unyield.hpp>
 
 EnginePool::EnginePool(Strand strand, Coordinator& coordinator, EventLog& log, Limits limits)
-    : strand_(strand), coordinator_(coordinator), log_(log), limits_(limits), sweep_(strand) {
+    : strand_(strand), coordinator_(coordinator), log_(log), limits_(limits), sweep_timer_(strand) {
   sweep();
 }
 
@@ -469,130 +490,139 @@
   Engine& engine = engines_[index];
   engine.name = change.name;
   engine.standing = change.standing;
-  // Connections of a process that has ended since stay open and silent if its machine went with it.
-  const bool moved = engine.address != change.address;
-  const auto lines = engine.lines;
-  for (const auto& line : lines) {
-    if (change.standing != Standing::kReady) line->take_back_unsent();
-    if (change.standing == Standing::kGone && line->idle()) {
-      line->close({});
+  // If the machine of the engine's previous process failed, its connections stay open without an error.
+  const bool address_changed = engine.address != change.address;
+  const auto connections = engine.connections;
+  for (const auto& connection : connections) {
+    if (change.standing != Standing::kReady) connection->withdraw_unsent();
+    if (change.standing == Standing::kGone && connection->idle()) {
+      connection->close({});
       continue;
     }
-    const bool dead = moved || (change.came_up > engine.came_up && line->opened() < change.came_up);
-    if (dead) line->replaced();
+    const bool replaced =
+        address_changed || (change.came_up > engine.started_at && connection->opened_at() < change.came_up);
+    if (replaced) connection->close_replaced();
   }
-  if (moved) {
+  if (address_changed) {
     engine.address = change.address;
     engine.endpoint = parse_address(change.address);
     if (!engine.endpoint) log_.line("engine " + engine.name + " has no usable address: " + engine.address);
   }
-  engine.came_up = change.came_up;
+  engine.started_at = change.came_up;
 }
 
-bool EnginePool::runs_once(const Query& query) const {
+bool EnginePool::runs_at_most_once(const Query& query) const {
   const auto& classes = coordinator_.settings().classes;
   return classes[static_cast<std::size_t>(query.cls)].effect == Effect::kOnce;
 }
 
-// An attempt gets a connection to itself as long as there are enough of them: what spoils, cuts or resets a
-// connection then costs one attempt, and not all that share it. Where coordinators are many, a connection for
-// each is a handshake for each and a place for each that the engines have not: what may run again shares.
-std::shared_ptr<EnginePool::Line> EnginePool::pick(int index, std::optional<RequestId> id, bool alone) {
+// An attempt gets a connection of its own while there are enough of them: a corrupt answer, a cut or a reset
+// then costs one attempt and not all that share the connection. With many coordinators, a connection for each
+// attempt costs a handshake each and more connections than the engines accept, so repeatable attempts share.
+std::shared_ptr<EnginePool::Connection> EnginePool::pick_connection(int index, std::optional<RequestId> id,
+                                                                    bool exclusive) {
   if (index < 0 || static_cast<std::size_t>(index) >= engines_.size()) return nullptr;
   Engine& engine = engines_[static_cast<std::size_t>(index)];
   if (!engine.endpoint) return nullptr;
-  std::shared_ptr<Line> least;
-  for (const auto& line : engine.lines) {
-    if (!line->can_take(id)) continue;
-    // Of those that carry nothing the one used last: the others may then grow old and go.
-    const auto rank = std::tuple(line->alone(), line->live(), -line->used());
-    if (!least || rank < std::tuple(least->alone(), least->live(), -least->used())) least = line;
-  }
-  if (least && least->live() == 0) return least;
-  // A probe tells as much on a connection that carries something.
-  if (least && !id) return least;
-  // Where attempts are many they share: a handshake for each, and a write to each, would delay all of them.
-  if (least && limits_.sharing && !alone && !least->alone() && least->live() < kShared) return least;
-  const bool many = connections_ >= limits_.connections / kOwnPart;
-  if ((least && many) || !room_for(index, !least)) return least;
-  ++connections_;
-  const auto fresh = std::make_shared<Line>(*this, index, ++last_connection_, *engine.endpoint);
-  engine.lines.push_back(fresh);
-  fresh->run();
-  return fresh;
+  std::shared_ptr<Connection> best;
+  for (const auto& connection : engine.connections) {
+    if (!connection->can_send(id)) continue;
+    // Of the idle connections this takes the one used last, so that the others age and are closed.
+    const auto rank =
+        std::tuple(connection->exclusive(), connection->in_flight_count(), -connection->last_used_at());
+    if (!best || rank < std::tuple(best->exclusive(), best->in_flight_count(), -best->last_used_at()))
+      best = connection;
+  }
+  if (best && best->in_flight_count() == 0) return best;
+  // A probe needs no idle connection.
+  if (best && !id) return best;
+  // With many attempts, a handshake and a write for each of them would delay all, so they share.
+  if (best && limits_.share_connections && !exclusive && !best->exclusive() &&
+      best->in_flight_count() < kMaxSharedAttempts)
+    return best;
+  const bool many_open = connection_count_ >= limits_.max_connections / kExclusiveDivisor;
+  if ((best && many_open) || !make_room_for(index, !best)) return best;
+  ++connection_count_;
+  const auto created =
+      std::make_shared<Connection>(*this, index, ++last_connection_number_, *engine.endpoint);
+  engine.connections.push_back(created);
+  created->run();
+  return created;
 }
 
-// A busy engine may take more than its part, as long as that leaves each of the others one. When all are
-// taken and the engine has none that can be used, the connection that has been idle for longest goes: where
-// there are more engines than connections, that may be another engine's only one.
-bool EnginePool::room_for(int index, bool needed) {
+// A busy engine may take more than its share as long as one connection is left for each of the others. When
+// all are taken and the engine has no usable connection, the one that has been idle for longest is closed.
+// With more engines than connections, that may be another engine's only one.
+bool EnginePool::make_room_for(int index, bool required) {
   const auto number = static_cast<std::size_t>(index);
-  std::size_t owed = 0;
-  std::shared_ptr<Line> oldest, only;
+  std::size_t reserved = 0;
+  std::shared_ptr<Connection> oldest_spare, oldest_sole;
   for (std::size_t i = 0; i < engines_.size(); ++i) {
     const Engine& engine = engines_[i];
-    if (i != number && engine.standing == Standing::kReady && engine.lines.empty()) ++owed;
-    for (const auto& line : engine.lines) {
-      if (!line->idle()) continue;
-      const bool spare = i == number || engine.lines.size() > 1 || engine.standing != Standing::kReady;
-      std::shared_ptr<Line>& least = spare ? oldest : only;
-      if (!least || line->used() < least->used()) least = line;
+    if (i != number && engine.standing == Standing::kReady && engine.connections.empty()) ++reserved;
+    for (const auto& connection : engine.connections) {
+      if (!connection->idle()) continue;
+      const bool spare = i == number || engine.connections.size() > 1 || engine.standing != Standing::kReady;
+      std::shared_ptr<Connection>& oldest = spare ? oldest_spare : oldest_sole;
+      if (!oldest || connection->last_used_at() < oldest->last_used_at()) oldest = connection;
     }
   }
-  if (engines_[number].lines.empty()) owed = 0;
-  if (connections_ + owed < limits_.connections) return true;
-  if (!oldest) oldest = only;
-  if (!needed || !oldest) return false;
-  oldest->close({});
+  if (engines_[number].connections.empty()) reserved = 0;
+  if (connection_count_ + reserved < limits_.max_connections) return true;
+  if (!oldest_spare) oldest_spare = oldest_sole;
+  if (!required || !oldest_spare) return false;
+  oldest_spare->close({});
   return true;
 }
 
 void EnginePool::send(const Dispatch& dispatch) {
   const auto index = static_cast<std::size_t>(dispatch.engine);
-  const bool open = index < engines_.size() && engines_[index].standing == Standing::kReady;
-  const auto line = open ? pick(dispatch.engine, dispatch.query.id, runs_once(dispatch.query)) : nullptr;
-  if (!line) return never_written(dispatch.query.id, dispatch.attempt, EndCause::kNoConnection);
-  where_[dispatch.query.id] = line;
-  line->serve(dispatch);
+  const bool available = index < engines_.size() && engines_[index].standing == Standing::kReady;
+  const auto connection =
+      available ? pick_connection(dispatch.engine, dispatch.query.id, runs_at_most_once(dispatch.query))
+                : nullptr;
+  if (!connection) return end_unsent_attempt(dispatch.query.id, dispatch.attempt, EndCause::kNoConnection);
+  connection_by_request_[dispatch.query.id] = connection;
+  connection->send(dispatch);
 }
 
-void EnginePool::never_written(RequestId id, int attempt, EndCause cause) {
-  where_.erase(id);
+void EnginePool::end_unsent_attempt(RequestId id, int attempt, EndCause cause) {
+  connection_by_request_.erase(id);
   coordinator_.attempt_ended({id, attempt, Outcome::kDialFailed, cause, {}, {}});
 }
 
 void EnginePool::give_up(RequestId id, int attempt) {
-  const auto at = where_.find(id);
-  if (at == where_.end()) return;
-  const auto line = std::move(at->second);
-  where_.erase(at);
-  line->give_up(id, attempt);
+  const auto at = connection_by_request_.find(id);
+  if (at == connection_by_request_.end()) return;
+  const auto connection = std::move(at->second);
+  connection_by_request_.erase(at);
+  connection->give_up(id, attempt);
 }
 
 void EnginePool::probe(int engine) {
-  const auto line = pick(engine, std::nullopt);
-  if (!line) return coordinator_.probed({engine, false, Micros{0}, {}});
-  line->probe(++last_probe_);
+  const auto connection = pick_connection(engine, std::nullopt);
+  if (!connection) return coordinator_.probed({engine, false, Micros{0}, {}});
+  connection->probe(++last_probe_number_);
 }
 
 void EnginePool::flush() {
   const auto dirty = std::exchange(dirty_, {});
-  for (const auto& line : dirty) line->write();
+  for (const auto& connection : dirty) connection->write();
 }
 
-void EnginePool::drop(int engine, const Line* line) {
-  connections_ -= std::erase_if(engines_[static_cast<std::size_t>(engine)].lines,
-                                [line](const auto& held) { return held.get() == line; });
+void EnginePool::remove_connection(int engine, const Connection* connection) {
+  connection_count_ -= std::erase_if(engines_[static_cast<std::size_t>(engine)].connections,
+                                     [connection](const auto& other) { return other.get() == connection; });
 }
 
 void EnginePool::sweep() {
-  sweep_.expires_after(kSweep);
-  sweep_.async_wait([this](error_code error) {
+  sweep_timer_.expires_after(kSweepInterval);
+  sweep_timer_.async_wait([this](error_code error) {
     if (error) return;
     const Micros now = coordinator_.now();
     for (Engine& engine : engines_) {
-      const auto lines = engine.lines;
-      for (const auto& line : lines) line->sweep(now);
+      const auto connections = engine.connections;
+      for (const auto& connection : connections) connection->sweep(now);
     }
     sweep();
   });
--- a/src/net/engine_pool.h
+++ b/src/net/engine_pool.h
@@ -1,4 +1,4 @@
-// Connections to the engines, the attempts on them, and the pages of their results.
+// Connections to the engines, the attempts in flight on them, and the pages of their results.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -14,18 +14,19 @@
 
 using boost::asio::ip::tcp;
 
-// An address as it stands in the configuration and in lists: numbers only, there is no name service.
+// Parses an address of the configuration or of a list: IP and port in digits, as there is no name service.
 std::optional<tcp::endpoint> parse_address(const std::string& text);
 
 class EnginePool : public Engines {
  public:
   struct Limits {
-    std::size_t multiplex{1};  // attempts on a connection at a time
+    std::size_t max_attempts_per_connection{1};  // in flight at a time
     Micros connect_timeout{0};
-    Micros idle{0};             // engines close a connection that has carried nothing for so long
-    std::size_t connections{};  // to all engines at a time
-    bool reports{};             // probes ask for the load report
-    bool sharing{};             // attempts that may run again share connections from the first on
+    Micros idle_timeout{0};         // engines close a connection that has been idle for this long
+    std::size_t max_connections{};  // to all engines together
+    bool request_load_reports{};    // a probe asks for a load report and not only for health
+    // repeatable attempts share connections from the start, not only once connections run short
+    bool share_connections{};
   };
 
   EnginePool(Strand strand, Coordinator& coordinator, EventLog& log, Limits limits);
@@ -38,32 +39,34 @@
   void flush() override;
 
  private:
-  class Line;
+  class Connection;
   struct Engine {
     std::string name, address;
     std::optional<tcp::endpoint> endpoint;
     Standing standing{Standing::kGone};
-    Micros came_up{0};
-    std::vector<std::shared_ptr<Line>> lines;
+    Micros started_at{0};
+    std::vector<std::shared_ptr<Connection>> connections;
   };
 
-  std::shared_ptr<Line> pick(int engine, std::optional<RequestId> id, bool alone = false);
-  bool runs_once(const Query& query) const;
-  bool room_for(int engine, bool needed);
-  void drop(int engine, const Line* line);
-  void never_written(RequestId id, int attempt, EndCause cause);
+  std::shared_ptr<Connection> pick_connection(int engine, std::optional<RequestId> id,
+                                              bool exclusive = false);
+  bool runs_at_most_once(const Query& query) const;
+  bool make_room_for(int engine, bool required);
+  void remove_connection(int engine, const Connection* connection);
+  void end_unsent_attempt(RequestId id, int attempt, EndCause cause);
   void sweep();
 
   Strand strand_;
   Coordinator& coordinator_;
   EventLog& log_;
   Limits limits_;
-  boost::asio::steady_timer sweep_;
-  std::uint64_t last_probe_{0}, last_connection_{0};
+  boost::asio::steady_timer sweep_timer_;
+  std::uint64_t last_probe_number_{0}, last_connection_number_{0};
   std::vector<Engine> engines_;
-  std::size_t connections_{0};
-  std::unordered_map<RequestId, std::shared_ptr<Line>> where_;  // the line of a request's attempt that is out
-  std::vector<std::shared_ptr<Line>> dirty_;
+  std::size_t connection_count_{0};
+  // of the attempt in flight
+  std::unordered_map<RequestId, std::shared_ptr<Connection>> connection_by_request_;
+  std::vector<std::shared_ptr<Connection>> dirty_;
 };
 
 }  // namespace steprail
--- a/src/net/framed.h
+++ b/src/net/framed.h
@@ -1,5 +1,5 @@
-// Thrift's framed connections, whatever service is spoken on them: listening, whole frames in, gathered
-// writes out, and the bounds on how long and how much a client may keep.
+// A server for framed Thrift connections, whatever service runs on them: accepts connections, splits input
+// into frames, gathers writes, and limits how long and how much a client may occupy.
 #pragma once
 
 #include <boost/asio/coroutine.hpp>
@@ -19,12 +19,12 @@
 class FramedServer {
  public:
   struct Limits {
-    std::size_t sessions{};  // connections at a time
-    std::size_t store{};     // bytes of long frames and unread answers, of all connections together
-    std::size_t calls{32};   // open at a time on one connection
-    Micros idle{6'000'000};  // clients close what has been idle for 4 s by themselves
-    // Bytes queued on a connection from which on its next calls wait; 0: they never do.
-    std::size_t pause_at{0};
+    std::size_t max_sessions{};        // open connections
+    std::size_t max_buffered_bytes{};  // long frames and unread answers of all connections together
+    std::size_t max_open_calls{32};    // per connection
+    Micros idle_timeout{6'000'000};    // clients themselves close a connection that was idle for 4 s
+    // While more bytes than this are queued on a connection, no further calls are read from it; 0: no limit.
+    std::size_t pause_threshold{0};
   };
 
   FramedServer(Strand strand, Coordinator& coordinator, EventLog& log, Limits limits);
@@ -32,17 +32,17 @@
   FramedServer(const FramedServer&) = delete;
   FramedServer& operator=(const FramedServer&) = delete;
 
-  // Throws boost::system::system_error where the address cannot be had.
+  // Throws boost::system::system_error if the address cannot be bound.
   tcp::endpoint listen(const tcp::endpoint& at);
-  // The same where the caller can wait for it; after an error it may be called again.
+  // Reports the error instead, for callers that wait for the address; may be called again after an error.
   tcp::endpoint listen(const tcp::endpoint& at, boost::system::error_code& error);
-  // What `check` answers.
+  // The answer to `check`.
   void set_ready(bool ready) { ready_ = ready; }
-  // From now on requests are refused at once: only what was taken before is still served.
+  // From now on new requests are refused at once; requests already accepted are still served.
   void refuse_new() { refusing_ = true; }
-  // Nothing is left to be written.
+  // True if no connection has output left to write.
   bool written_out() const;
-  std::size_t sessions() const { return sessions_.size(); }
+  std::size_t session_count() const { return sessions_.size(); }
   void set_limits(const Limits& limits) { limits_ = limits; }
 
  protected:
@@ -56,49 +56,52 @@
     void push(Piece&&... piece) {
       out_.push(std::forward<Piece>(piece)...);
     }
-    // Has this turn write what was pushed.
-    void mark();
-    // With a reason: the connection is ended for what its client did.
+    // Writes the output queue at the end of this event loop iteration.
+    void schedule_write();
+    // A reason means that the connection is closed because of what its client did; it is logged.
     void close(const char* reason);
     bool closed() const { return closed_; }
 
    protected:
-    // One message; false if it is none, which ends the connection.
-    virtual bool take(std::string_view frame) = 0;
-    // The connection has ended.
-    virtual void gone() = 0;
-    // A call is open: the connection is not idle.
-    virtual bool busy() const = 0;
-    // Calls that wait for something else than the queue; resume() once it is there.
-    virtual bool held() const { return false; }
-    void resume();
-    // The client's clock of idleness begins anew.
-    void answered();
+    // Handles one message. Returns false if it is malformed, which closes the connection.
+    virtual bool handle_frame(std::string_view frame) = 0;
+    // Called when the connection has been closed.
+    virtual void on_closed() = 0;
+    // A connection with open calls is not idle.
+    virtual bool has_open_calls() const = 0;
+    // True if further calls have to wait for something other than the output queue; the derived class calls
+    // resume_reading() when that has happened.
+    virtual bool calls_blocked() const { return false; }
+    void resume_reading();
+    // Called by the derived class when it has answered a call.
+    void restart_idle_timer();
 
    private:
     friend class FramedServer;
     void read(boost::system::error_code error = {}, std::size_t count = 0);
     void write();
-    bool take_frames();
-    bool begun(bool partial);
-    bool paused() const;
+    bool handle_frames();
+    bool note_partial_frame(bool partial);
+    bool reading_paused() const;
     void sweep(Micros now);
-    std::optional<std::pair<bool, Micros>> spare(Micros now) const;
-    std::size_t stored() const;
+    std::optional<std::pair<bool, Micros>> eviction_rank(Micros now) const;
+    std::size_t buffered_bytes() const;
 
     FramedServer& server_;
     tcp::socket socket_;
     std::uint64_t number_;
-    InBuffer in_;
-    OutQueue out_;
-    bool dirty_{false}, waiting_{false}, closed_{false}, parked_{false};
-    bool asked_{false}, partial_{false};  // a whole frame has come; a part of the next one has
-    Micros since_{0};                     // when it connected, last asked, was last answered or began a frame
-    Micros stuck_{0};
+    InputBuffer in_;
+    OutputQueue out_;
+    bool dirty_{false}, write_blocked_{false}, closed_{false}, reading_suspended_{false};
+    // a whole frame has been received; part of the next one has been
+    bool received_frame_{false}, partial_frame_{false};
+    // time of connect, of the last request or answer, or of the first byte of an incomplete frame
+    Micros last_activity_at_{0};
+    Micros write_blocked_since_{0};
   };
 
-  virtual std::shared_ptr<Session> open(tcp::socket socket, std::uint64_t number) = 0;
-  Session* find(std::uint64_t session) const;
+  virtual std::shared_ptr<Session> create_session(tcp::socket socket, std::uint64_t number) = 0;
+  Session* find_session(std::uint64_t session) const;
   void write_dirty();
 
   Strand strand_;
@@ -109,17 +112,17 @@
 
  private:
   void accept();
-  void ended(std::uint64_t session);
-  bool make_room();
-  void told_off(const char* reason);
-  bool over_store() const;
+  void remove_session(std::uint64_t session);
+  bool evict_session();
+  void log_client_closed(const char* reason);
+  bool over_buffer_limit() const;
   void sweep();
 
   tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_, sweep_;
+  boost::asio::steady_timer accept_pause_timer_, sweep_timer_;
   bool accepting_{false};
-  std::uint64_t last_session_{0};
-  std::size_t closed_since_{0};  // for what their clients did, since the last sweep
+  std::uint64_t last_session_number_{0};
+  std::size_t closed_since_sweep_{0};  // because of their clients' behaviour
   std::unordered_map<std::uint64_t, std::shared_ptr<Session>> sessions_;
   std::vector<std::shared_ptr<Session>> dirty_;
 };
--- a/src/net/front.cpp
+++ b/src/net/front.cpp
@@ -11,42 +11,42 @@
   Client(ThriftFront& front, tcp::socket socket, std::uint64_t number)
       : Session(front, std::move(socket), number), front_(front) {}
 
-  void done(std::int32_t call) {
-    open_.erase(call);
-    answered();
+  void end_call(std::int32_t call) {
+    open_calls_.erase(call);
+    restart_idle_timer();
   }
 
  protected:
-  bool busy() const override { return !open_.empty(); }
+  bool has_open_calls() const override { return !open_calls_.empty(); }
 
-  void gone() override {
-    for (const auto& [call, id] : open_) front_.coordinator_.client_gone(id);
-    open_.clear();
+  void on_closed() override {
+    for (const auto& [call, id] : open_calls_) front_.coordinator_.client_gone(id);
+    open_calls_.clear();
   }
 
-  bool take(std::string_view frame) override {
+  bool handle_frame(std::string_view frame) override {
     thrift::Reader reader(frame);
     thrift::Message message;
-    if (!thrift::read_head(reader, message)) return false;
+    if (!thrift::read_message_head(reader, message)) return false;
     const bool call = message.kind == thrift::Kind::kCall;
     if (!call && message.kind != thrift::Kind::kOneway) return false;
     if (message.method == "execute") {
       thrift::Fields fields;
       std::string_view body;
-      if (!thrift::read_execute(reader, fields, body)) return false;
+      if (!thrift::read_call_args(reader, fields, body)) return false;
       execute(message.call, fields, body);
     } else if (message.method == "interrupt") {
-      std::int32_t which = 0;
-      if (!thrift::read_interrupt(reader, which)) return false;
-      interrupt(which);
+      std::int32_t interrupted_call = 0;
+      if (!thrift::read_interrupt_args(reader, interrupted_call)) return false;
+      interrupt(interrupted_call);
     } else if (message.method == "check") {
-      push(thrift::served_head(message.call, "check", 0));
-      push(thrift::served_tail(front_.ready_));
-      mark();
+      push(thrift::reply_head(message.call, "check", 0));
+      push(thrift::reply_tail(front_.ready_));
+      schedule_write();
     } else if (call) {
-      push(thrift::application_exception(message.call, message.method, thrift::Fault::kUnknownMethod,
-                                         "unknown method"));
-      mark();
+      push(thrift::application_exception(message.call, message.method,
+                                         thrift::ApplicationError::kUnknownMethod, "unknown method"));
+      schedule_write();
     }
     return true;
   }
@@ -55,61 +55,64 @@
   void execute(std::int32_t call, const thrift::Fields& fields, std::string_view body) {
     Query query;
     query.statement = body;
-    const char* fault = open_.contains(call) ? "call number in use"
-                                             : read_query(fields, front_.tables_, front_.coordinator_, query);
+    const char* fault = open_calls_.contains(call)
+                            ? "call number in use"
+                            : read_query(fields, front_.tables_, front_.coordinator_, query);
     if (fault != nullptr) {
-      push(thrift::thrown(call, "execute", 2, {{"reason", fault}}));
-      return mark();
+      push(thrift::declared_exception(call, "execute", 2, {{"reason", fault}}));
+      return schedule_write();
     }
-    if (front_.refusing_ || open_.size() >= front_.limits_.calls) {
-      push(thrift::thrown(call, "execute", 1, {}));
-      return mark();
+    if (front_.refusing_ || open_calls_.size() >= front_.limits_.max_open_calls) {
+      push(thrift::declared_exception(call, "execute", 1, {}));
+      return schedule_write();
     }
-    query.ticket = {number(), call, front_.number_};
+    query.ticket = {number(), call, front_.front_number_};
     query.group = table_group(body);
-    open_[call] = query.id;
+    open_calls_[call] = query.id;
     front_.coordinator_.arrived(std::move(query));
   }
 
   void interrupt(std::int32_t call) {
-    const auto at = open_.find(call);
-    if (at == open_.end()) return;  // its answer has crossed it
+    const auto at = open_calls_.find(call);
+    if (at == open_calls_.end()) return;  // the answer has crossed it
     const RequestId id = at->second;
-    open_.erase(at);
+    open_calls_.erase(at);
     front_.coordinator_.client_gone(id);
   }
 
   ThriftFront& front_;
-  std::unordered_map<std::int32_t, RequestId> open_;
+  std::unordered_map<std::int32_t, RequestId> open_calls_;
 };
 
 ThriftFront::ThriftFront(Strand strand, Coordinator& coordinator, EventLog& log, const Tables& tables,
                          Limits limits)
-    : FramedServer(strand, coordinator, log, limits), tables_(tables), number_(coordinator.attach(*this)) {}
+    : FramedServer(strand, coordinator, log, limits),
+      tables_(tables),
+      front_number_(coordinator.attach(*this)) {}
 
-std::shared_ptr<FramedServer::Session> ThriftFront::open(tcp::socket socket, std::uint64_t number) {
+std::shared_ptr<FramedServer::Session> ThriftFront::create_session(tcp::socket socket, std::uint64_t number) {
   return std::make_shared<Client>(*this, std::move(socket), number);
 }
 
 void ThriftFront::answer(const Ticket& ticket, Answer answer) {
-  auto* client = static_cast<Client*>(find(ticket.session));
+  auto* client = static_cast<Client*>(find_session(ticket.session));
   if (client == nullptr) return;
-  client->done(ticket.call);
+  client->end_call(ticket.call);
   if (answer.verdict == Verdict::kServed) {
     std::size_t bytes = 0;
     for (const std::string& page : answer.pages) bytes += page.size();
-    client->push(thrift::served_head(ticket.call, "execute", bytes));
+    client->push(thrift::reply_head(ticket.call, "execute", bytes));
     for (std::string& page : answer.pages) client->push(std::move(page));
-    client->push(thrift::served_tail(true));
+    client->push(thrift::reply_tail(true));
   } else if (answer.verdict == Verdict::kRefused) {
     std::vector<std::pair<std::string, std::string>> fields;
-    const std::int64_t wait = answer.come_back.count() / 1000;
-    if (wait > 0) fields.emplace_back("later", std::to_string(wait));
-    client->push(thrift::thrown(ticket.call, "execute", 1, fields));
+    const std::int64_t retry_after_ms = answer.come_back.count() / 1000;
+    if (retry_after_ms > 0) fields.emplace_back("later", std::to_string(retry_after_ms));
+    client->push(thrift::declared_exception(ticket.call, "execute", 1, fields));
   } else {
-    client->push(thrift::thrown(ticket.call, "execute", 2, {}));
+    client->push(thrift::declared_exception(ticket.call, "execute", 2, {}));
   }
-  client->mark();
+  client->schedule_write();
 }
 
 }  // namespace steprail
--- a/src/net/front.h
+++ b/src/net/front.h
@@ -1,4 +1,4 @@
-// The Thrift front: clients' calls of the platform's service, and the answers to them.
+// The Thrift front: the calls of the platform's service and their answers.
 #pragma once
 
 #include "net/framed.h"
@@ -15,10 +15,10 @@
 
  private:
   class Client;
-  std::shared_ptr<Session> open(tcp::socket socket, std::uint64_t number) override;
+  std::shared_ptr<Session> create_session(tcp::socket socket, std::uint64_t number) override;
 
   const Tables& tables_;
-  const int number_;  // among the coordinator's fronts
+  const int front_number_;  // index among the coordinator's fronts
 };
 
 }  // namespace steprail
--- a/src/net/query_fields.cpp
+++ b/src/net/query_fields.cpp
@@ -5,43 +5,44 @@
 namespace steprail {
 
 namespace {
-constexpr std::int64_t kLimitMost = 1'000'000'000;  // ms: beyond every class's, and far from running over
-}
+// more than the limit of any class, and small enough that microseconds cannot overflow
+constexpr std::int64_t kMaxLimitMs = 1'000'000'000;
+}  // namespace
 
 const char* read_query(const thrift::Fields& fields, const Tables& tables, Coordinator& coordinator,
                        Query& query) {
   std::optional<RequestId> id;
-  std::optional<std::int64_t> limit;
-  std::optional<double> work = 0.0, memory = 0.0;  // need not be told
+  std::optional<std::int64_t> limit_ms;
+  std::optional<double> estimate_ms = 0.0, memory_mb = 0.0;  // optional
   query.cls = -1;
   for (const auto& [name, value] : fields) {
     if (name == "txn") {
-      id = parse_id(value);
+      id = parse_request_id(value);
       query.name = value;
     } else if (name == "verb") {
       query.cls = tables.classes.index(value);
       query.class_name = value;
     } else if (name == "limit") {
-      limit = parse_count(value);
+      limit_ms = parse_count(value);
     } else if (name == "team") {
       query.tenant = tables.tenants.index(value);
     } else if (name == "second") {
       query.resent = value == "1";
     } else if (name == "cpu") {
-      work = parse_number(value);
+      estimate_ms = parse_number(value);
     } else if (name == "mem") {
-      memory = parse_number(value);
+      memory_mb = parse_number(value);
     }
   }
   if (!id) return "txn";
-  if (!limit || *limit > kLimitMost) return "limit";
-  if (!work) return "cpu";
-  if (!memory) return "mem";
+  if (!limit_ms || *limit_ms > kMaxLimitMs) return "limit";
+  if (!estimate_ms) return "cpu";
+  if (!memory_mb) return "mem";
   if (coordinator.knows(*id)) return "txn in use";
   query.id = *id;
-  query.estimate_ms = *work;
-  query.memory_mb = *memory;
-  query.limit = Micros{*limit * 1000};
+  query.estimate_ms = *estimate_ms;
+  query.memory_mb = *memory_mb;
+  query.limit = Micros{*limit_ms * 1000};
   query.taken = coordinator.now();
   return coordinator.unusable(query);
 }
--- a/src/net/query_fields.h
+++ b/src/net/query_fields.h
@@ -1,4 +1,4 @@
-// A query from the fields of a call, for every service that takes queries in this form.
+// Reads a query from the fields of a call, for every service with this form of call.
 #pragma once
 
 #include "core/coordinator.h"
@@ -7,12 +7,12 @@
 
 namespace steprail {
 
-// Fills the query in, its ticket and statement excepted. Null if it can be used, else the name of what
-// cannot.
+// Fills in the query except for its ticket and statement. Returns null if the query is valid, else what is
+// wrong with it, as text for the client.
 const char* read_query(const thrift::Fields& fields, const Tables& tables, Coordinator& coordinator,
                        Query& query);
 
-// The field's value; empty where it is not there.
+// The value of the field, or empty if it is absent.
 std::string_view field(const thrift::Fields& fields, std::string_view name);
 
 }  // namespace steprail
--- a/src/net/statement.cpp
+++ b/src/net/statement.cpp
@@ -5,65 +5,66 @@
 namespace steprail {
 namespace {
 
-bool word(char c) {
+bool is_name_char(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '_' || c == '$' ||
          static_cast<unsigned char>(c) >= 0x80;
 }
 
-// The number behind the last underscore of a schema's name; -1 if there is none.
-int number_of(std::string_view schema) {
-  const std::size_t bar = schema.rfind('_');
-  if (bar == std::string_view::npos || bar + 1 == schema.size()) return -1;
+// The number after the last underscore of a schema name; -1 if there is none.
+int group_number(std::string_view schema) {
+  const std::size_t underscore = schema.rfind('_');
+  if (underscore == std::string_view::npos || underscore + 1 == schema.size()) return -1;
   int number = -1;
   const char* end = schema.data() + schema.size();
-  const auto [stopped, error] = std::from_chars(schema.data() + bar + 1, end, number);
-  return error == std::errc{} && stopped == end ? number : -1;
+  const auto [parsed_end, error] = std::from_chars(schema.data() + underscore + 1, end, number);
+  return error == std::errc{} && parsed_end == end ? number : -1;
 }
 
-// Past a quoted text that begins at `at`; a quote within is doubled or follows a backslash.
-std::size_t past_quoted(std::string_view s, std::size_t at) {
-  const char quote = s[at++];
-  for (; at < s.size(); ++at) {
-    if (s[at] == '\\' && quote == '\'') {
-      ++at;
-    } else if (s[at] == quote) {
-      if (at + 1 >= s.size() || s[at + 1] != quote) return at + 1;
-      ++at;
+// The position after a quoted text that begins at `pos`. A quote within the text is doubled or, in single
+// quotes, escaped by a backslash.
+std::size_t end_of_quoted(std::string_view sql, std::size_t pos) {
+  const char quote = sql[pos++];
+  for (; pos < sql.size(); ++pos) {
+    if (sql[pos] == '\\' && quote == '\'') {
+      ++pos;
+    } else if (sql[pos] == quote) {
+      if (pos + 1 >= sql.size() || sql[pos + 1] != quote) return pos + 1;
+      ++pos;
     }
   }
-  return s.size();
+  return sql.size();
 }
 
 }  // namespace
 
-int table_group(std::string_view s) {
-  std::size_t at = 0;
-  while (at < s.size()) {
-    const char c = s[at];
-    const char next = at + 1 < s.size() ? s[at + 1] : '\0';
+int table_group(std::string_view sql) {
+  std::size_t pos = 0;
+  while (pos < sql.size()) {
+    const char c = sql[pos];
+    const char next = pos + 1 < sql.size() ? sql[pos + 1] : '\0';
     if (c == '\'') {
-      at = past_quoted(s, at);
+      pos = end_of_quoted(sql, pos);
     } else if (c == '-' && next == '-') {
-      at = std::min(s.find('\n', at), s.size());
+      pos = std::min(sql.find('\n', pos), sql.size());
     } else if (c == '/' && next == '*') {
-      const std::size_t end = s.find("*/", at + 2);
-      at = end == std::string_view::npos ? s.size() : end + 2;
-    } else if (word(c) || c == '"' || c == '`') {
-      const std::size_t from = at;
+      const std::size_t end = sql.find("*/", pos + 2);
+      pos = end == std::string_view::npos ? sql.size() : end + 2;
+    } else if (is_name_char(c) || c == '"' || c == '`') {
+      const std::size_t start = pos;
       std::string_view name;
-      if (word(c)) {
-        while (at < s.size() && word(s[at])) ++at;
-        name = s.substr(from, at - from);
+      if (is_name_char(c)) {
+        while (pos < sql.size() && is_name_char(sql[pos])) ++pos;
+        name = sql.substr(start, pos - start);
       } else {
-        at = past_quoted(s, at);
-        if (at - from >= 2) name = s.substr(from + 1, at - from - 2);
+        pos = end_of_quoted(sql, pos);
+        if (pos - start >= 2) name = sql.substr(start + 1, pos - start - 2);
       }
-      // A schema is what stands before a dot and behind none.
-      const bool qualifies = at < s.size() && s[at] == '.' && (from == 0 || s[from - 1] != '.');
-      const int number = qualifies ? number_of(name) : -1;
+      // A schema is a name that is followed by a dot and does not follow one.
+      const bool qualifies = pos < sql.size() && sql[pos] == '.' && (start == 0 || sql[start - 1] != '.');
+      const int number = qualifies ? group_number(name) : -1;
       if (number >= 0) return number;
     } else {
-      ++at;
+      ++pos;
     }
   }
   return -1;
--- a/src/net/statement.h
+++ b/src/net/statement.h
@@ -1,11 +1,12 @@
-// The group of tables that a statement touches.
+// Finds the group of tables that a statement uses.
 #pragma once
 
 #include <string_view>
 
 namespace steprail {
 
-// The number after the underscore in the name of the schema that it reads or writes; -1 if there is none.
+// The number after the underscore in the name of the schema that the statement reads or writes; -1 if there
+// is none.
 int table_group(std::string_view statement);
 
 }  // namespace steprail
--- a/src/net/thrift.cpp
+++ b/src/net/thrift.cpp
@@ -4,11 +4,13 @@
 namespace {
 
 constexpr std::uint32_t kVersion = 0x80010000, kVersionMask = 0xffff0000;
-constexpr int kDeepest = 16;  // of nested fields that are skipped
+constexpr int kMaxSkipDepth = 16;  // of nested structs and containers that are skipped
 
 class Writer {
  public:
-  explicit Writer(std::size_t frame_extra = 0) : extra_(frame_extra) { out_.assign(kFrameHead, '\0'); }
+  explicit Writer(std::size_t trailing_bytes = 0) : trailing_bytes_(trailing_bytes) {
+    out_.assign(kFrameHeaderBytes, '\0');
+  }
   Writer& number(std::uint64_t value, int bytes) {
     for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8)
       out_.push_back(static_cast<char>(value >> shift));
@@ -23,29 +25,29 @@
     return number(static_cast<unsigned>(type), 1).number(static_cast<unsigned>(id), 2);
   }
   Writer& stop() { return number(0, 1); }
-  Writer& map(const Texts& fields) {
+  Writer& map(const OwnedFields& fields) {
     number(11, 1).number(11, 1).number(fields.size(), 4);
     for (const auto& [name, value] : fields) text(name).text(value);
     return *this;
   }
-  Writer& head(Kind kind, std::string_view method, std::int32_t call) {
+  Writer& message_head(Kind kind, std::string_view method, std::int32_t call) {
     return number(kVersion | static_cast<unsigned>(kind), 4)
         .text(method)
         .number(static_cast<std::uint32_t>(call), 4);
   }
   std::string frame() {
-    const std::size_t length = out_.size() - kFrameHead + extra_;
-    for (std::size_t i = 0; i < kFrameHead; ++i) out_[i] = static_cast<char>(length >> (24 - 8 * i));
+    const std::size_t length = out_.size() - kFrameHeaderBytes + trailing_bytes_;
+    for (std::size_t i = 0; i < kFrameHeaderBytes; ++i) out_[i] = static_cast<char>(length >> (24 - 8 * i));
     return std::move(out_);
   }
 
  private:
   std::string out_;
-  std::size_t extra_;
+  std::size_t trailing_bytes_;
 };
 
-// Of an Answer, what follows its body: the map of fields, `good`, and the ends of both structs.
-std::size_t tail_bytes(const Texts& fields) {
+// Bytes of an Answer after its body: the map of fields, `good`, and the stop bytes of both structs.
+std::size_t reply_tail_bytes(const OwnedFields& fields) {
   std::size_t bytes = 3 + 6 + 4 + 2;
   for (const auto& [name, value] : fields) bytes += 8 + name.size() + value.size();
   return bytes;
@@ -60,13 +62,13 @@
 }
 
 std::string_view Reader::take(std::size_t count) {
-  if (!good_ || count > left_.size()) {
+  if (!good_ || count > remaining_.size()) {
     good_ = false;
     return {};
   }
-  const std::string_view taken = left_.substr(0, count);
-  left_.remove_prefix(count);
-  return taken;
+  const std::string_view result = remaining_.substr(0, count);
+  remaining_.remove_prefix(count);
+  return result;
 }
 
 std::uint64_t Reader::number(std::size_t bytes) {
@@ -86,7 +88,7 @@
 }
 
 void Reader::skip(Type type, int depth) {
-  if (depth > kDeepest) good_ = false;
+  if (depth > kMaxSkipDepth) good_ = false;
   if (!good_) return;
   switch (type) {
     case Type::kBool:
@@ -119,7 +121,7 @@
     case Type::kList: {
       const Type first{u8()};
       const Type second = type == Type::kMap ? Type{u8()} : Type::kStop;
-      for (std::int32_t left = i32(); left > 0 && good_; --left) {
+      for (std::int32_t remaining = i32(); remaining > 0 && good_; --remaining) {
         skip(first, depth + 1);
         if (type == Type::kMap) skip(second, depth + 1);
       }
@@ -130,10 +132,10 @@
   }
 }
 
-bool read_head(Reader& reader, Message& message) {
-  const auto word = static_cast<std::uint32_t>(reader.i32());
-  if (!reader.good() || (word & kVersionMask) != kVersion) return false;
-  message.kind = Kind{static_cast<std::uint8_t>(word & 0xff)};
+bool read_message_head(Reader& reader, Message& message) {
+  const auto version_and_kind = static_cast<std::uint32_t>(reader.i32());
+  if (!reader.good() || (version_and_kind & kVersionMask) != kVersion) return false;
+  message.kind = Kind{static_cast<std::uint8_t>(version_and_kind & 0xff)};
   message.method = reader.bytes();
   message.call = reader.i32();
   return reader.good();
@@ -143,7 +145,7 @@
 
 void read_map(Reader& reader, Fields& fields) {
   const Type key{reader.u8()}, value{reader.u8()};
-  for (std::int32_t left = reader.i32(); left > 0 && reader.good(); --left) {
+  for (std::int32_t remaining = reader.i32(); remaining > 0 && reader.good(); --remaining) {
     if (key == Type::kString && value == Type::kString) {
       const std::string_view name = reader.bytes();
       fields.emplace_back(name, reader.bytes());
@@ -154,21 +156,21 @@
   }
 }
 
-// Calls `known(id, type)` for every field of a struct; what it leaves alone (false) is skipped.
+// Calls `read_field(id, type)` for every field of a struct and skips the field if that returns false.
 template <typename F>
-bool read_struct(Reader& reader, F&& known) {
+bool read_struct(Reader& reader, F&& read_field) {
   while (reader.good()) {
     const Type type{reader.u8()};
     if (type == Type::kStop) return reader.good();
     const std::int16_t id = reader.i16();
-    if (!known(id, type)) reader.skip(type);
+    if (!read_field(id, type)) reader.skip(type);
   }
   return false;
 }
 
 }  // namespace
 
-bool read_execute(Reader& reader, Fields& fields, std::string_view& body) {
+bool read_call_args(Reader& reader, Fields& fields, std::string_view& body) {
   return read_struct(reader, [&](std::int16_t id, Type type) {
     if (id == 1 && type == Type::kMap) return read_map(reader, fields), true;
     if (id == 2 && type == Type::kString) return body = reader.bytes(), true;
@@ -176,7 +178,7 @@
   });
 }
 
-bool read_interrupt(Reader& reader, std::int32_t& call) {
+bool read_interrupt_args(Reader& reader, std::int32_t& call) {
   return read_struct(reader, [&](std::int16_t id, Type type) {
     if (id != 1 || type != Type::kI32) return false;
     call = reader.i32();
@@ -184,30 +186,34 @@
   });
 }
 
-std::string served_head(std::int32_t call, std::string_view method, std::size_t body_bytes,
-                        const Texts& fields) {
-  Writer out(body_bytes + tail_bytes(fields));
-  out.head(Kind::kReply, method, call).field(Type::kStruct, 0).field(Type::kString, 1).number(body_bytes, 4);
+std::string reply_head(std::int32_t call, std::string_view method, std::size_t body_bytes,
+                       const OwnedFields& fields) {
+  Writer out(body_bytes + reply_tail_bytes(fields));
+  out.message_head(Kind::kReply, method, call)
+      .field(Type::kStruct, 0)
+      .field(Type::kString, 1)
+      .number(body_bytes, 4);
   return out.frame();
 }
 
-std::string served_tail(bool good, const Texts& fields) {
+std::string reply_tail(bool good, const OwnedFields& fields) {
   Writer out;
   out.field(Type::kMap, 2).map(fields);
   out.field(Type::kBool, 3).number(good ? 1 : 0, 1).stop().stop();
-  return out.frame().substr(kFrameHead);
+  return out.frame().substr(kFrameHeaderBytes);
 }
 
-std::string thrown(std::int32_t call, std::string_view method, std::int16_t field, const Texts& fields) {
+std::string declared_exception(std::int32_t call, std::string_view method, std::int16_t field,
+                               const OwnedFields& fields) {
   Writer out;
-  out.head(Kind::kReply, method, call).field(Type::kStruct, field).field(Type::kMap, 1).map(fields);
+  out.message_head(Kind::kReply, method, call).field(Type::kStruct, field).field(Type::kMap, 1).map(fields);
   return out.stop().stop().frame();
 }
 
-std::string application_exception(std::int32_t call, std::string_view method, Fault fault,
+std::string application_exception(std::int32_t call, std::string_view method, ApplicationError fault,
                                   std::string_view text) {
   Writer out;
-  out.head(Kind::kException, method, call).field(Type::kString, 1).text(text);
+  out.message_head(Kind::kException, method, call).field(Type::kString, 1).text(text);
   return out.field(Type::kI32, 2).number(static_cast<std::uint32_t>(fault), 4).stop().frame();
 }
 
--- a/src/net/thrift.h
+++ b/src/net/thrift.h
@@ -1,4 +1,4 @@
-// Thrift's strict binary protocol, as far as the front speaks it, over buffers of whole frames.
+// Thrift's strict binary protocol over buffers that hold whole frames, as far as the fronts need it.
 #pragma once
 
 #include <cstdint>
@@ -23,19 +23,19 @@
   kList = 15
 };
 enum class Kind : std::uint8_t { kCall = 1, kReply = 2, kException = 3, kOneway = 4 };
-enum class Fault : std::int32_t { kUnknownMethod = 1, kProtocolError = 7 };
+enum class ApplicationError : std::int32_t { kUnknownMethod = 1, kProtocolError = 7 };
 
-constexpr std::size_t kFrameHead = 4;
+constexpr std::size_t kFrameHeaderBytes = 4;
 
-// The length that a frame's head announces; -1 if it is no length.
+// The length in a frame's header; -1 if it is not positive or the header is incomplete.
 std::int64_t frame_length(std::string_view head);
 
-// Reads in place: what it gives out points into the frame. After a fault, good() stays false.
+// Reads in place: the views it returns point into the frame. After an error, good() stays false.
 class Reader {
  public:
-  explicit Reader(std::string_view bytes) : left_(bytes) {}
+  explicit Reader(std::string_view bytes) : remaining_(bytes) {}
   bool good() const { return good_; }
-  bool done() const { return left_.empty(); }
+  bool at_end() const { return remaining_.empty(); }
   std::uint8_t u8();
   std::int16_t i16();
   std::int32_t i32();
@@ -45,31 +45,32 @@
  private:
   std::string_view take(std::size_t count);
   std::uint64_t number(std::size_t bytes);
-  std::string_view left_;
+  std::string_view remaining_;
   bool good_{true};
 };
 
 struct Message {
   Kind kind{};
   std::string_view method;
-  std::int32_t call{};
+  std::int32_t call{};  // sequence id
 };
-// Also false where the version is another one.
-bool read_head(Reader& reader, Message& message);
+// Also returns false if the protocol version is not supported.
+bool read_message_head(Reader& reader, Message& message);
 
 using Fields = std::vector<std::pair<std::string_view, std::string_view>>;
-using Texts = std::vector<std::pair<std::string, std::string>>;
-bool read_execute(Reader& reader, Fields& fields, std::string_view& body);
-bool read_interrupt(Reader& reader, std::int32_t& call);
+using OwnedFields = std::vector<std::pair<std::string, std::string>>;
+bool read_call_args(Reader& reader, Fields& fields, std::string_view& body);
+bool read_interrupt_args(Reader& reader, std::int32_t& call);
 
-// A served answer's frame is this head, the body's bytes, and this tail; the head counts the tail in, with
-// its fields.
-std::string served_head(std::int32_t call, std::string_view method, std::size_t body_bytes,
-                        const Texts& fields = {});
-std::string served_tail(bool good, const Texts& fields = {});
-// Overloaded (field 1) or Internal (field 2), as a whole frame.
-std::string thrown(std::int32_t call, std::string_view method, std::int16_t field, const Texts& fields);
-std::string application_exception(std::int32_t call, std::string_view method, Fault fault,
+// The frame of a successful reply is this head, the body's bytes, and the tail. The length in the head
+// includes the tail with the same fields.
+std::string reply_head(std::int32_t call, std::string_view method, std::size_t body_bytes,
+                       const OwnedFields& fields = {});
+std::string reply_tail(bool good, const OwnedFields& fields = {});
+// A whole frame with an exception that the service declares: Overloaded (field 1) or Internal (field 2).
+std::string declared_exception(std::int32_t call, std::string_view method, std::int16_t field,
+                               const OwnedFields& fields);
+std::string application_exception(std::int32_t call, std::string_view method, ApplicationError fault,
                                   std::string_view text);
 
 }  // namespace thrift
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -37,7 +37,7 @@
       coordinator_(strand_, log_, config_.seed, config_.settings),
       engines_(strand_, coordinator_, log_, engine_limits()),
       front_(strand_, coordinator_, log_, config_.tables,
-             {.sessions = client_limit(), .store = (config_.memory_mb << 20) / kStorePart}),
+             {.max_sessions = client_limit(), .max_buffered_bytes = (config_.memory_mb << 20) / kStorePart}),
       directory_(strand_, coordinator_, log_, config_.tables, config_.directory, reference_time(),
                  config_.seed) {
   coordinator_.attach(engines_);
@@ -75,10 +75,10 @@
 edge::Fronts::Limits Server::edge_limits() const { return {conf_.edge.connections, conf_.edge.poll_wait}; }
 
 FramedServer::Limits Server::reader_limits() const {
-  return {.sessions = conf_.spool.sessions,
-          .store = (config_.memory_mb << 20) / kStorePart,
-          .idle = std::max(conf_.spool.logic.lease, Micros{kSettle}),
-          .pause_at = conf_.spool.unread_most};
+  return {.max_sessions = conf_.spool.sessions,
+          .max_buffered_bytes = (config_.memory_mb << 20) / kStorePart,
+          .idle_timeout = std::max(conf_.spool.logic.lease, Micros{kSettle}),
+          .pause_threshold = conf_.spool.unread_most};
 }
 
 void Server::start() {
@@ -90,7 +90,7 @@
   await_signal();
   release_signals();
   coordinator_.start();
-  directory_.load(config_.known);
+  directory_.load_saved(config_.known);
   directory_.follow();
   if (readers_) {
     const auto at = parse_address(conf_.spool.listen);
@@ -200,16 +200,16 @@
 EnginePool::Limits Server::engine_limits() const {
   EnginePool::Limits limits = config_.engines;
   const std::size_t taken = client_limit() + std::min(config_.sockets / 4, kOwnDescriptors);
-  limits.connections = std::max<std::size_t>(1, config_.sockets - std::min(taken, config_.sockets));
+  limits.max_connections = std::max<std::size_t>(1, config_.sockets - std::min(taken, config_.sockets));
   // An engine has no core for a query of each coordinator, and no place for a connection of each attempt.
   const auto& kinds = config_.settings.kinds;
-  limits.sharing = std::any_of(kinds.begin(), kinds.end(), [this](const KindSettings& kind) {
+  limits.share_connections = std::any_of(kinds.begin(), kinds.end(), [this](const KindSettings& kind) {
     return config_.settings.gateways > kind.cores;
   });
   // Readers' connections and the spool's own files come out of the engines' part.
   const std::size_t spool = conf_.spool.on ? conf_.spool.sessions + kSpoolDescriptors : 0;
   const std::size_t edge = conf_.edge.on ? conf_.edge.connections + kSpoolDescriptors : 0;
-  limits.connections -= std::min(spool + edge, limits.connections - 1);
+  limits.max_connections -= std::min(spool + edge, limits.max_connections - 1);
   return limits;
 }
 
--- a/src/server.h
+++ b/src/server.h
@@ -31,7 +31,7 @@
   void reload();
   boost::asio::io_context& io() { return io_; }
   // The last event of the list that was taken.
-  std::int64_t listed() const { return directory_.last(); }
+  std::int64_t listed() const { return directory_.last_index(); }
   tcp::endpoint endpoint() const { return endpoint_; }
   // Of the second service, where it is on.
   tcp::endpoint reader_endpoint() const { return reader_endpoint_; }
--- a/src/spool/reader_front.cpp
+++ b/src/spool/reader_front.cpp
@@ -67,19 +67,19 @@
       : Session(front, std::move(socket), number), front_(front) {}
 
   void refuse(std::int32_t call, std::string_view method, const Refusal& why, bool again,
-              thrift::Texts more = {}) {
+              thrift::OwnedFields more = {}) {
     more.emplace_back("code", why.code);
     more.emplace_back("reason", why.sentence);
     more.emplace_back("again", again ? "1" : "0");
-    push(thrift::thrown(call, method, again ? kAgain : kNotAgain, more));
-    mark();
+    push(thrift::declared_exception(call, method, again ? kAgain : kNotAgain, more));
+    schedule_write();
   }
 
-  void give(std::int32_t call, std::string_view method, const Window& window, thrift::Texts fields) {
-    push(thrift::served_head(call, method, window.bytes, fields));
+  void give(std::int32_t call, std::string_view method, const Window& window, thrift::OwnedFields fields) {
+    push(thrift::reply_head(call, method, window.bytes, fields));
     for (const Slice& slice : window.slices) push(slice.page, slice.from, slice.to);
-    push(thrift::served_tail(true, fields));
-    mark();
+    push(thrift::reply_tail(true, fields));
+    schedule_write();
   }
 
   void give(std::int32_t call, std::string_view method, const Opened& opened) {
@@ -96,15 +96,15 @@
 
   void done(std::int32_t call) {
     calls_.erase(call);
-    answered();
+    restart_idle_timer();
   }
 
  protected:
-  bool busy() const override { return !calls_.empty() || reading_; }
+  bool has_open_calls() const override { return !calls_.empty() || reading_; }
   // Answers leave in the order of their calls, and a reader holds one window at a time.
-  bool held() const override { return reading_; }
+  bool calls_blocked() const override { return reading_; }
 
-  void gone() override {
+  void on_closed() override {
     const auto calls = std::exchange(calls_, {});
     for (const auto& [call, id] : calls) {
       const auto at = front_.waiting_.find(id);
@@ -116,35 +116,35 @@
     front_.spool_.reader_gone(number());
   }
 
-  bool take(std::string_view frame) override {
+  bool handle_frame(std::string_view frame) override {
     thrift::Reader reader(frame);
     thrift::Message message;
-    if (!thrift::read_head(reader, message)) return false;
+    if (!thrift::read_message_head(reader, message)) return false;
     const bool call = message.kind == thrift::Kind::kCall;
     if (!call && message.kind != thrift::Kind::kOneway) return false;
     const std::string method(message.method);
     if (method == "interrupt") {
       std::int32_t which = 0;
-      if (!thrift::read_interrupt(reader, which)) return false;
+      if (!thrift::read_interrupt_args(reader, which)) return false;
       interrupt(which);
     } else if (method == "check") {
-      push(thrift::served_head(message.call, method, 0));
-      push(thrift::served_tail(front_.ready_));
-      mark();
+      push(thrift::reply_head(message.call, method, 0));
+      push(thrift::reply_tail(front_.ready_));
+      schedule_write();
     } else if (method == "submit" || method == "resume" || method == "fetch" || method == "acknowledge" ||
                method == "release") {
       thrift::Fields fields;
       std::string_view body;
-      if (!thrift::read_execute(reader, fields, body)) return false;
+      if (!thrift::read_call_args(reader, fields, body)) return false;
       if (method == "submit") {
         submit(message.call, fields, body);
       } else {
         read(message.call, method, fields);
       }
     } else if (call) {
-      push(thrift::application_exception(message.call, method, thrift::Fault::kUnknownMethod,
+      push(thrift::application_exception(message.call, method, thrift::ApplicationError::kUnknownMethod,
                                          "unknown method"));
-      mark();
+      schedule_write();
     }
     return true;
   }
@@ -159,11 +159,11 @@
     if (fault == nullptr && (front_.spool_.holds(query.id) || front_.waiting_.contains(query.id)))
       fault = "txn in use";
     if (fault != nullptr) {
-      push(thrift::thrown(call, "submit", kNotAgain,
-                          {{"code", "unusable"}, {"reason", fault}, {"again", "0"}}));
-      return mark();
+      push(thrift::declared_exception(call, "submit", kNotAgain,
+                                      {{"code", "unusable"}, {"reason", fault}, {"again", "0"}}));
+      return schedule_write();
     }
-    if (front_.refusing_ || calls_.size() >= front_.limits_.calls)
+    if (front_.refusing_ || calls_.size() >= front_.limits_.max_open_calls)
       return refuse(call, "submit", {"refused", "nothing new is taken here now", true}, true);
     // Its answer comes back under the request's own number: it may outlive this connection.
     query.ticket = {query.id, 0, front_.number_};
@@ -237,7 +237,7 @@
   }
 
   void fetched(std::int32_t call, const Window& window) {
-    answered();
+    restart_idle_timer();
     if (window.error == StoreError::kUnknown) return refuse(call, "fetch", refusal(End::kLeaseEnded), false);
     if (window.error == StoreError::kBusy)
       return refuse(call, "fetch", {"busy", "no descriptor is free to read it with; ask again", true}, true);
@@ -248,10 +248,10 @@
           {"rows", std::to_string(window.total_rows)},
           {"last", window.last() ? "1" : "0"}});
   }
-  void resume_calls() { Session::resume(); }
+  void resume_calls() { Session::resume_reading(); }
 
   void resume(std::int32_t call, int tenant, std::string_view txn) {
-    const auto id = parse_id(txn);
+    const auto id = parse_request_id(txn);
     if (!id || calls_.contains(call)) return refuse(call, "resume", {"unusable", "txn", false}, false);
     const Grant grant = front_.spool_.resume(*id, tenant, number());
     if (grant.access == Access::kNotYet) {
@@ -259,7 +259,7 @@
       if (at == front_.waiting_.end()) return refuse(call, "resume", refusal(End::kFailed), false);
       Waiting& waiting = at->second;
       // Whoever waited so far is told, and its connection is of no further use to this request.
-      if (auto* other = static_cast<Reader*>(front_.find(waiting.session))) {
+      if (auto* other = static_cast<Reader*>(front_.find_session(waiting.session))) {
         other->refuse(waiting.call, waiting.resumed ? "resume" : "submit", refusal(Access::kOtherReader),
                       false);
         other->done(waiting.call);
@@ -279,7 +279,7 @@
       auto& reader = static_cast<Reader&>(*session);
       reader.reading_ = false;
       if (reader.closed()) return;
-      reader.answered();
+      reader.restart_idle_timer();
       if (opened.how == Opened::How::kHandle) {
         reader.give(call, "resume", opened);
       } else {
@@ -307,7 +307,7 @@
       spool_(spool),
       number_(coordinator.attach(*this)) {}
 
-std::shared_ptr<FramedServer::Session> ReaderFront::open(tcp::socket socket, std::uint64_t number) {
+std::shared_ptr<FramedServer::Session> ReaderFront::create_session(tcp::socket socket, std::uint64_t number) {
   return std::make_shared<Reader>(*this, std::move(socket), number);
 }
 
@@ -317,7 +317,7 @@
   if (at == waiting_.end()) return;
   const Waiting waiting = at->second;
   waiting_.erase(at);
-  auto* reader = static_cast<Reader*>(find(waiting.session));
+  auto* reader = static_cast<Reader*>(find_session(waiting.session));
   const char* method = waiting.resumed ? "resume" : "submit";
   if (reader != nullptr) reader->done(waiting.call);
   if (answer.verdict != Verdict::kServed) {
@@ -325,7 +325,7 @@
     const End why = refused ? End::kRefused : End::kFailed;
     if (waiting.spooled) spool_.ended(id, why);
     if (reader == nullptr) return;
-    thrift::Texts more;
+    thrift::OwnedFields more;
     if (answer.come_back.count() >= 1000)
       more.emplace_back("later", std::to_string(answer.come_back.count() / 1000));
     return reader->refuse(waiting.call, method, refusal(why), refused || waiting.repeatable, std::move(more));
@@ -353,7 +353,7 @@
 }
 
 void ReaderFront::tell(const Waiting& to, const Opened& opened) {
-  auto* reader = static_cast<Reader*>(find(to.session));
+  auto* reader = static_cast<Reader*>(find_session(to.session));
   if (reader == nullptr) return;
   const char* method = to.resumed ? "resume" : "submit";
   if (opened.how == Opened::How::kNothing) {
--- a/src/spool/reader_front.h
+++ b/src/spool/reader_front.h
@@ -29,7 +29,7 @@
     bool spooled{};
     bool repeatable{};
   };
-  std::shared_ptr<Session> open(tcp::socket socket, std::uint64_t number) override;
+  std::shared_ptr<Session> create_session(tcp::socket socket, std::uint64_t number) override;
   void tell(const Waiting& to, const Opened& opened);
 
   const Tables& tables_;
--- a/standins/client.cpp
+++ b/standins/client.cpp
@@ -85,7 +85,7 @@
   Reply reply;
   thrift::Reader reader(message);
   thrift::Message head;
-  if (!thrift::read_head(reader, head)) return std::nullopt;
+  if (!thrift::read_message_head(reader, head)) return std::nullopt;
   reply.call = head.call;
   reply.kind = static_cast<int>(head.kind);
   if (head.kind != thrift::Kind::kReply || reader.u8() == 0) return reply;
--- a/tests/net_world.h
+++ b/tests/net_world.h
@@ -1,5 +1,5 @@
-// What stories over loopback sockets have in common: a configuration, scripted peers, and a coordinator among
-// them. One thread runs all: each story advances the program until what it waits for has happened.
+// Fixture for tests over loopback sockets: a configuration, scripted peers, and a coordinator between them.
+// All run in one thread: each test runs the coordinator's event loop until the condition it waits for holds.
 #pragma once
 
 #include <unistd.h>
@@ -14,24 +14,24 @@
 #include "net/thrift.h"
 #include "server.h"
 
-namespace story {
+namespace net_fixture {
 
 using namespace steprail;
 using nlohmann::json;
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-constexpr std::chrono::seconds kGiveUp{30};  // ends a story that hangs; no verdict depends on it
+constexpr std::chrono::seconds kHangTimeout{30};  // ends a test that hangs; no result depends on it
 
 inline std::string address(const tcp::acceptor& at) {
   return "127.0.0.1:" + std::to_string(at.local_endpoint().port());
 }
 
-// The far end of a connection, read without waiting.
+// The remote end of a connection, read without blocking.
 class Peer {
  public:
   explicit Peer(tcp::socket socket) : socket_(std::move(socket)) { socket_.non_blocking(true); }
-  // To one that has closed meanwhile nothing is written; reading tells.
+  // Write errors of a closed connection are ignored; the next read reports the close.
   void write(const std::string& bytes) {
     error_code ignored;
     asio::write(socket_, asio::buffer(bytes), ignored);
@@ -45,12 +45,12 @@
       const std::size_t count = socket_.read_some(asio::buffer(bytes), error);
       if (error == asio::error::would_block) break;
       if (error) ended_ = true;
-      in.append(bytes, count);
+      received.append(bytes, count);
     }
-    return in;
+    return received;
   }
   bool has(const std::string& text) { return read().find(text) != std::string::npos; }
-  std::string in;
+  std::string received;
 
  private:
   tcp::socket socket_;
@@ -70,7 +70,7 @@
       peers.push_back(std::make_unique<Peer>(std::move(socket)));
     }
   }
-  // The n-th connection, once it is there.
+  // The n-th connection, or null if it has not been accepted yet.
   Peer* peer(std::size_t n) { return poll(), n < peers.size() ? peers[n].get() : nullptr; }
   bool has(std::size_t n, const std::string& text) { return peer(n) != nullptr && peers[n]->has(text); }
   tcp::acceptor acceptor;
@@ -123,12 +123,12 @@
             {"profiles", {cls("lookup", "repeatable"), cls("load", "once")}}}}};
 }
 
-// A configuration's file, for as long as its story lasts.
+// A configuration file that exists as long as this object.
 class ConfigFile {
  public:
-  explicit ConfigFile(const json& from) {
+  explicit ConfigFile(const json& config_json) {
     close(mkstemp(path_.data()));
-    write(from.dump());
+    write(config_json.dump());
   }
   ~ConfigFile() { std::remove(path_.c_str()); }
   ConfigFile(const ConfigFile&) = delete;
@@ -141,32 +141,37 @@
   std::string path_{"/tmp/steprail-config-XXXXXX"};
 };
 
-inline std::string number(std::uint32_t value, int bytes = 4) {
+inline std::string encode_number(std::uint32_t value, int bytes = 4) {
   std::string out;
   for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8) out.push_back(static_cast<char>(value >> shift));
   return out;
 }
-inline std::string text(const std::string& s) { return number(static_cast<std::uint32_t>(s.size())) + s; }
+inline std::string encode_text(const std::string& s) {
+  return encode_number(static_cast<std::uint32_t>(s.size())) + s;
+}
 inline std::string frame(int kind, const std::string& method, int call, const std::string& args) {
-  return text(number(0x80010000u | static_cast<unsigned>(kind)) + text(method) +
-              number(static_cast<std::uint32_t>(call)) + args);
+  return encode_text(encode_number(0x80010000u | static_cast<unsigned>(kind)) + encode_text(method) +
+                     encode_number(static_cast<std::uint32_t>(call)) + args);
 }
 inline std::string execute(int call, const std::vector<std::pair<std::string, std::string>>& fields) {
-  std::string args = "\x0d" + number(1, 2) + "\x0b\x0b" + number(static_cast<std::uint32_t>(fields.size()));
-  for (const auto& [name, value] : fields) args += text(name) + text(value);
-  return frame(1, "execute", call, args + "\x0b" + number(2, 2) + text("select 1 from a_7.t") + '\0');
+  std::string args =
+      "\x0d" + encode_number(1, 2) + "\x0b\x0b" + encode_number(static_cast<std::uint32_t>(fields.size()));
+  for (const auto& [name, value] : fields) args += encode_text(name) + encode_text(value);
+  return frame(1, "execute", call,
+               args + "\x0b" + encode_number(2, 2) + encode_text("select 1 from a_7.t") + '\0');
 }
 inline std::string query(int call, const std::string& id, const std::string& verb = "lookup",
                          const std::string& limit = "9000") {
   return execute(call, {{"txn", id}, {"verb", verb}, {"limit", limit}, {"team", "acme"}});
 }
 inline std::string interrupt(int call) {
-  return frame(4, "interrupt", 99, "\x08" + number(1, 2) + number(static_cast<std::uint32_t>(call)) + '\0');
+  return frame(4, "interrupt", 99,
+               "\x08" + encode_number(1, 2) + encode_number(static_cast<std::uint32_t>(call)) + '\0');
 }
-inline const std::string kCheck = frame(1, "check", 50, std::string(1, '\0'));
+inline const std::string kCheckCall = frame(1, "check", 50, std::string(1, '\0'));
 
-// What an answer's frame holds.
-struct Told {
+// A decoded answer to a client.
+struct Reply {
   int call{};
   int kind{};
   int field{-1};  // 0 served, 1 refused, 2 failed
@@ -175,57 +180,57 @@
 
 inline const std::string kId = "00000000000000a1";
 
-class World {
+class Fixture {
  public:
-  explicit World(
-      std::size_t count, const std::function<void(json&)>& change = [](json&) {})
+  explicit Fixture(
+      std::size_t engine_count, const std::function<void(json&)>& adjust_config = [](json&) {})
       : directory(io) {
     json rows = json::array();
-    for (std::size_t i = 0; i < count; ++i) {
+    for (std::size_t i = 0; i < engine_count; ++i) {
       engines.push_back(std::make_unique<Listener>(io));
       rows.push_back(row(static_cast<int>(i), address(engines[i]->acceptor)));
     }
-    from = config(address(directory.acceptor), rows);
-    change(from);
-    file = std::make_unique<ConfigFile>(from);
+    config_json = config(address(directory.acceptor), rows);
+    adjust_config(config_json);
+    file = std::make_unique<ConfigFile>(config_json);
     server = std::make_unique<Server>(file->read());
     server->start();
   }
-  ~World() { CHECK(server->broken_invariants() == 0); }
+  ~Fixture() { CHECK(server->broken_invariants() == 0); }
 
   std::unique_ptr<Peer> client() {
     tcp::socket socket(io);
     socket.connect(server->endpoint());
     return std::make_unique<Peer>(std::move(socket));
   }
-  void until(const std::function<bool()>& happened) {
-    const auto end = std::chrono::steady_clock::now() + kGiveUp;
-    while (!happened()) {
+  void run_until(const std::function<bool()>& condition) {
+    const auto end = std::chrono::steady_clock::now() + kHangTimeout;
+    while (!condition()) {
       REQUIRE(std::chrono::steady_clock::now() < end);
       server->io().run_for(std::chrono::milliseconds(1));
     }
   }
-  // The client's next answer, taken off what it has read.
-  Told answer(Peer& client) {
+  // Waits for the client's next answer and removes it from the received bytes.
+  Reply answer(Peer& client) {
     std::size_t length = 0;
-    until([&] {
+    run_until([&] {
       if (client.read().size() < 4) return false;
-      length = static_cast<std::size_t>(thrift::frame_length(client.in));
-      return client.in.size() >= 4 + length;
+      length = static_cast<std::size_t>(thrift::frame_length(client.received));
+      return client.received.size() >= 4 + length;
     });
-    const std::string bytes = client.in.substr(4, length);
-    client.in.erase(0, 4 + length);
+    const std::string bytes = client.received.substr(4, length);
+    client.received.erase(0, 4 + length);
     thrift::Reader reader(bytes);
     thrift::Message message;
-    REQUIRE(thrift::read_head(reader, message));
-    Told told{message.call, static_cast<int>(message.kind), -1, bytes};
-    if (message.kind == thrift::Kind::kReply) reader.u8(), told.field = reader.i16();
-    return told;
+    REQUIRE(thrift::read_message_head(reader, message));
+    Reply reply{message.call, static_cast<int>(message.kind), -1, bytes};
+    if (message.kind == thrift::Kind::kReply) reader.u8(), reply.field = reader.i16();
+    return reply;
   }
 
   asio::io_context io;
   Listener directory;
-  json from;
+  json config_json;
   std::unique_ptr<ConfigFile> file;
   std::vector<std::unique_ptr<Listener>> engines;
   std::unique_ptr<Server> server;
@@ -240,4 +245,4 @@
          "\r\n";
 }
 
-}  // namespace story
+}  // namespace net_fixture
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -10,7 +10,7 @@
 
 #include "net_world.h"
 
-using namespace story;
+using namespace net_fixture;
 
 namespace {
 
@@ -122,7 +122,7 @@
 
 // A client's connection, as soon as the program listens.
 std::unique_ptr<Peer> connect(asio::io_context& io, const tcp::endpoint& to) {
-  const auto end = Clock::now() + kGiveUp;
+  const auto end = Clock::now() + kHangTimeout;
   for (;;) {
     tcp::socket socket(io);
     error_code error;
@@ -134,7 +134,7 @@
 }
 
 void until(const std::function<bool()>& happened) {
-  const auto end = Clock::now() + kGiveUp;
+  const auto end = Clock::now() + kHangTimeout;
   while (!happened()) {
     REQUIRE(Clock::now() < end);
     ::usleep(1000);
@@ -183,7 +183,7 @@
   REQUIRE(process.says("is held by another process, waiting"));
   before.reset();
   const auto client = connect(io, listen);
-  client->write(kCheck);
+  client->write(kCheckCall);
   until([&] { return client->read().size() > 4; });
   process.signal(SIGTERM);
   CHECK(process.wait() == 0);
@@ -209,13 +209,13 @@
   auto process = std::make_unique<Process>(file.path());
   std::vector<std::unique_ptr<Peer>> clients;
   for (int i = 0; i < 200; ++i) clients.push_back(connect(io, listen));
-  for (const auto& client : clients) client->write(kCheck);
+  for (const auto& client : clients) client->write(kCheckCall);
   for (const auto& client : clients) until([&] { return client->read().size() > 4; });
   process->signal(SIGKILL);
   CHECK(process->wait() == -SIGKILL);
   process = std::make_unique<Process>(file.path());
   clients.clear();
-  for (int i = 0; i < 200; ++i) clients.push_back(connect(io, listen)), clients.back()->write(kCheck);
+  for (int i = 0; i < 200; ++i) clients.push_back(connect(io, listen)), clients.back()->write(kCheckCall);
   for (const auto& client : clients) until([&] { return client->read().size() > 4; });
   process->signal(SIGTERM);
   CHECK(process->wait() == 0);
@@ -251,20 +251,20 @@
   ConfigFile file(from);
   Process process(file.path(), 16);
   const auto first = connect(io, listen);
-  first->write(kCheck);
+  first->write(kCheckCall);
   until([&] { return first->read().size() > 4; });
   std::vector<std::unique_ptr<Peer>> many;
-  for (int i = 0; i < 30; ++i) many.push_back(connect(io, listen)), many.back()->write(kCheck);
+  for (int i = 0; i < 30; ++i) many.push_back(connect(io, listen)), many.back()->write(kCheckCall);
   REQUIRE(process.says("accept failed: Too many open files"));
   // No connection to the engine can be made: that is told at once.
-  first->in.clear();
+  first->received.clear();
   first->write(query(1, kId));
   until([&] { return first->read().size() > 4; });
   rusage before{}, after{};
   ::usleep(300'000);
   many.clear();
   const auto late = connect(io, listen);
-  late->write(kCheck);
+  late->write(kCheckCall);
   until([&] { return late->read().size() > 4; });
   late->write(query(2, "00000000000000a2"));
   until([&] { return engine.has(0, "serve 00000000000000a2"); });
@@ -370,7 +370,7 @@
   expect_attempts(engine, kId, 2);
   for (const auto& peer : engine.listener.peers) peer->write(ack(kId, "b\t\t\n"));
   until([&] { return client->read().size() > 4; });
-  CHECK(client->in.find("b\t\t\n") != std::string::npos);
+  CHECK(client->received.find("b\t\t\n") != std::string::npos);
   process.signal(SIGTERM);
   CHECK(process.wait() == 0);
 }
@@ -393,7 +393,7 @@
   expect_attempts(engine, kId, 2);
   for (const auto& peer : engine.listener.peers) peer->write(ack(kId, "b\t\t\n"));
   until([&] { return client->read().size() > 4; });
-  CHECK(client->in.find("b\t\t\n") != std::string::npos);
+  CHECK(client->received.find("b\t\t\n") != std::string::npos);
   process.signal(SIGTERM);
   CHECK(process.wait() == 0);
 }
@@ -428,21 +428,21 @@
  private:
   void answer(Peer& peer) {
     for (peer.read();;) {
-      const std::size_t end = peer.in.find("\r\n");
+      const std::size_t end = peer.received.find("\r\n");
       if (end == std::string::npos) return;
-      const std::string line = peer.in.substr(0, end);
+      const std::string line = peer.received.substr(0, end);
       const std::string id =
           line.substr(line.find(' ') + 1, line.find(' ', line.find(' ') + 1) - line.find(' ') - 1);
       std::size_t whole = end + 2;
       if (line.starts_with("serve ")) {
         whole += std::stoul(line.substr(line.rfind(' ') + 1)) + 2;
-        if (peer.in.size() < whole) return;
+        if (peer.received.size() < whole) return;
         peer.write(ack(id, "x\t\t\n"));
         ++served;
       } else if (line.starts_with("gauges ")) {
         peer.write(id + " READY rep=load_share:0.2 0\r\n\r\n");
       }
-      peer.in.erase(0, whole);
+      peer.received.erase(0, whole);
     }
   }
   tcp::acceptor acceptor_;
@@ -508,14 +508,14 @@
   int call = 0, answered = 0, good = 0;
   const auto take = [&] {
     process.listen(), engines.poll();
-    for (client->read(); client->in.size() >= 4;) {
-      const auto length = static_cast<std::size_t>(thrift::frame_length(client->in));
-      if (client->in.size() < 4 + length) break;
-      const std::string bytes = client->in.substr(4, length);
-      client->in.erase(0, 4 + length);
+    for (client->read(); client->received.size() >= 4;) {
+      const auto length = static_cast<std::size_t>(thrift::frame_length(client->received));
+      if (client->received.size() < 4 + length) break;
+      const std::string bytes = client->received.substr(4, length);
+      client->received.erase(0, 4 + length);
       thrift::Reader reader(bytes);
       thrift::Message message;
-      REQUIRE(thrift::read_head(reader, message));
+      REQUIRE(thrift::read_message_head(reader, message));
       ++answered, reader.u8(), good += reader.i16() == 0;
     }
   };
