--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -150,9 +150,9 @@
   for (int run = 0; run < 2 * rounds; ++run) {
     const bool durable = run % 2 == 1;
     site.kill();
-    site.set_conf(conf(durable ? "  requests 256\n  ledger " +
-                                     site.folder.path("ledger" + std::to_string(run)) + " 64m\n"
-                               : "  requests 256\n"));
+    site.write_conf(conf(durable ? "  requests 256\n  ledger " +
+                                       site.temp_dir.path("ledger" + std::to_string(run)) + " 64m\n"
+                                 : "  requests 256\n"));
     site.start();
     Device device("acme", "tablet");
     EdgeClient client(site.io, device, site.server->edge_endpoint(), By::kWebSocketCbor);
@@ -263,7 +263,7 @@
     EdgeClient client(site.io, device, proxy.endpoint(), By::kWebSocketCbor);
     client.connect();
     client.ask("report", "select 1 from a_1.t", 4000);
-    if (!site.until([&] { return device.idle(); })) std::abort();
+    if (!site.run_until([&] { return device.idle(); })) std::abort();
     bytes = static_cast<double>(proxy.bytes_down());
   }
   json table = json::array();
--- a/bench/ordinary.h
+++ b/bench/ordinary.h
@@ -23,9 +23,9 @@
       client.call("execute", ++asked, standin::request(id, "lookup"), "select 1 from a_7.t");
       ++open;
     }
-    if (!site.until([&] {
+    if (!site.run_until([&] {
           bool any = false;
-          while (client.take()) ++done, --open, any = true;
+          while (client.next_reply()) ++done, --open, any = true;
           return any || client.ended();
         }) ||
         client.ended())
@@ -59,9 +59,9 @@
     nlohmann::json config = site.config;
     config["listen"] = "127.0.0.1:" + std::to_string(port);
     const std::string file = name + ".json";
-    site.folder.write(file, config.dump());
-    std::vector<std::string> words{path, "serve", "--config", site.folder.path(file)};
-    if (on) words.insert(words.end(), {"--conf", site.folder.path("steprail.conf")});
+    site.temp_dir.write(file, config.dump());
+    std::vector<std::string> words{path, "serve", "--config", site.temp_dir.path(file)};
+    if (on) words.insert(words.end(), {"--conf", site.temp_dir.path("steprail.conf")});
     Variant variant{name, nullptr, std::make_unique<Process>(words, "serving as"), nullptr, {}};
     variant.client = std::make_unique<Client>(
         site.io, tcp::endpoint{boost::asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port)});
--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -86,7 +86,7 @@
 // ---- The store ----
 
 json store_figures(bool quick) {
-  const Folder folder;
+  const TempDir folder;
   const std::size_t results = quick ? 128 : 512, pages = 340;  // of 2 MB each
   std::string page;
   pcg32 random(3);
@@ -149,16 +149,16 @@
   Site::Options options;
   options.script->rows = 3000;
   options.script->row_bytes = 100;
-  options.script->runs_for = milliseconds(10);
+  options.script->run_time = milliseconds(10);
   options.conf = conf("64m");
   Site site(options);
   const std::string id = "00000000000000a1";
   const auto reader = site.reader();
   reader->call("submit", 1, request(id), "select 1 from a_7.t");
-  const auto opened = site.reply(*reader);
+  const auto opened = site.wait_for_reply(*reader);
   if (!opened || opened->field != 0) std::abort();
-  const Span span = site.engines[0]->spans().at(0);
-  const double spooled = std::chrono::duration<double>(span.freed - span.opened).count();
+  const Session span = site.engines[0]->sessions().at(0);
+  const double spooled = std::chrono::duration<double>(span.closed_at - span.opened_at).count();
   // The direct way: pages are read from the engine itself, as slowly as the reader takes them.
   const double reading = 100 * spooled;
   tcp::socket socket(site.io);
@@ -171,7 +171,7 @@
   std::size_t page = 1;
   const auto start = Time::now();
   socket.non_blocking(true);
-  site.until([&] {
+  site.run_until([&] {
     char bytes[65536];
     boost::system::error_code error;
     socket.read_some(boost::asio::buffer(bytes), error);
@@ -179,8 +179,8 @@
       say("read " + direct_id + ' ' + std::to_string(page++) + "\r\n");
     return page == kPages && site.open_sessions() == 0;
   });
-  const Span slow = site.engines[0]->spans().at(1);
-  const double direct = std::chrono::duration<double>(slow.freed - slow.opened).count();
+  const Session slow = site.engines[0]->sessions().at(1);
+  const double direct = std::chrono::duration<double>(slow.closed_at - slow.opened_at).count();
   return {{"session_ratio", direct / spooled},
           {"session_spooled_ms", spooled * 1000},
           {"session_direct_ms", direct * 1000}};
@@ -196,7 +196,7 @@
   options.script->rows = 5000;  // 500 KB each
   options.script->row_bytes = 100;
   options.hard_limit = milliseconds(60'000);
-  options.change = [&](json& config) {
+  options.edit_config = [&](json& config) {
     config["limits"]["sockets"] = 16'384;
     config["limits"]["memory_mb"] = 2048;
   };
@@ -204,8 +204,8 @@
       conf(std::to_string(budget >> 20) + "m", "  sessions 2500\n  unread-most 256k\n  lease 5s\n");
   Site site(options);
   site.kill();
-  Process process({program, "serve", "--config", site.folder.path("config.json"), "--conf",
-                   site.folder.path("steprail.conf")},
+  Process process({program, "serve", "--config", site.temp_dir.path("config.json"), "--conf",
+                   site.temp_dir.path("steprail.conf")},
                   "serving as");
   const double idle = process.memory("VmRSS");
   const tcp::endpoint to{boost::asio::ip::address_v4::loopback(),
@@ -219,7 +219,8 @@
     stalled.back()->call("submit", 1, request(id, "report", i % 2 == 0 ? "acme" : "umbra", 50'000),
                          "select 1 from a_7.t");
     std::optional<Reply> reply;
-    site.until([&] { return (reply = stalled.back()->take()).has_value() || stalled.back()->ended(); });
+    site.run_until(
+        [&] { return (reply = stalled.back()->next_reply()).has_value() || stalled.back()->ended(); });
     const bool good = reply && reply->field == 0 && !reply->at("handle").empty();
     ++(good ? kept : refused);
     // Asks for all of it, and reads nothing.
@@ -250,10 +251,10 @@
     char id[17];
     std::snprintf(id, sizeof id, "%016x", i + 1);
     readers.back()->call("submit", 1, request(id), "select 1 from a_7.t");
-    site.reply(*readers.back());
+    site.wait_for_reply(*readers.back());
   }
   readers.clear();
-  site.until([&] { return site.server->spool()->bytes_held() == 0; }, std::chrono::seconds(5));
+  site.run_until([&] { return site.server->spool()->bytes_held() == 0; }, std::chrono::seconds(5));
   return site.server->spool()->bytes_held();
 }
 
--- a/src/commands/explain.cpp
+++ b/src/commands/explain.cpp
@@ -14,7 +14,7 @@
 void explain(const ExplainOptions& options, std::ostream& out) {
   const Config config = read_config(options.config);
   const OperatorConf conf = read_operator(options.conf);
-  const routes::RouteSet set = routes_of(conf, config.settings, config.tables);
+  const routes::RouteSet set = resolve_routes(conf, config.settings, config.tables);
   routes::Named names;
   for (int i = 0; i < config.tables.classes.size(); ++i)
     names.classes.push_back(config.tables.classes.name(i));
@@ -29,10 +29,11 @@
   facts.group = options.statement.empty() ? options.group : table_group(options.statement);
   facts.work_ms = options.work_ms;
   facts.memory_mb = options.memory_mb;
-  const routes::Explanation told = routes::explain(set, facts, names);
-  for (const std::string& line : told.why) out << line << '\n';
-  if (!told.route) out << "no route matches: as the platform's settings and the module say\n";
-  for (const std::string& line : told.figures) out << "  " << line << '\n';
+  const routes::Explanation explanation = routes::explain(set, facts, names);
+  for (const std::string& line : explanation.why) out << line << '\n';
+  if (!explanation.route)
+    out << "no route matches: the platform's settings and the gateway's defaults apply\n";
+  for (const std::string& line : explanation.figures) out << "  " << line << '\n';
 }
 
 }  // namespace steprail::commands
--- a/src/commands/explain.h
+++ b/src/commands/explain.h
@@ -1,4 +1,4 @@
-// `steprail explain`: the route that a request takes, and why.
+// `steprail explain`: prints the route that matches a request, and why.
 #pragma once
 
 #include <iosfwd>
@@ -7,13 +7,13 @@
 namespace steprail::commands {
 
 struct ExplainOptions {
-  std::string config, conf;  // both files
+  std::string config, conf;  // paths of the platform's and the operator's file
   std::string cls, tenant, front{"platform"}, statement;
   int group{-1};
   double work_ms{0}, memory_mb{0};
 };
 
-// Throws std::runtime_error where a file cannot be used, or a name is nobody's.
+// Throws std::runtime_error if a file cannot be used or a class, tenant or front is unknown.
 void explain(const ExplainOptions& options, std::ostream& out);
 
 }  // namespace steprail::commands
--- a/src/commands/plan.cpp
+++ b/src/commands/plan.cpp
@@ -14,7 +14,7 @@
 namespace steprail::commands {
 namespace {
 
-conf::Document read(const std::string& path) {
+conf::Document read_document(const std::string& path) {
   std::ifstream file(path);
   if (!file) throw std::runtime_error("traffic file " + path + " cannot be opened");
   std::stringstream text;
@@ -30,7 +30,7 @@
   routes::Traffic traffic;
   conf::Schema schema;
   routes::register_traffic(schema, traffic);
-  const conf::Document document = read(traffic_path);
+  const conf::Document document = read_document(traffic_path);
   const auto faults = schema.apply(document);
   if (!faults.empty())
     throw std::runtime_error("traffic file cannot be used:\n" + conf::render(document, faults));
@@ -39,28 +39,29 @@
   using Planner = void (*)(const routes::Traffic*, const Settings*, const Tables*, routes::Plan*);
   std::string fault;
   const auto planner = reinterpret_cast<Planner>(routes::solver_function("steprail_plan_routes", fault));
-  if (planner == nullptr) throw std::runtime_error("there is no planner: " + fault);
-  routes::Plan planned;
-  planner(&traffic, &config.settings, &config.tables, &planned);
-  if (!planned.fault.empty()) throw std::runtime_error(traffic_path + ": " + planned.fault);
+  if (planner == nullptr) throw std::runtime_error("no planner available: " + fault);
+  routes::Plan result;
+  planner(&traffic, &config.settings, &config.tables, &result);
+  if (!result.fault.empty()) throw std::runtime_error(traffic_path + ": " + result.fault);
 
-  // What comes out has to pass the checker, beside what the operator's file says already.
-  routes::RouteConf all;
-  if (!conf_path.empty()) all = read_operator(conf_path).routes;
-  const std::size_t own = all.routes.size();
+  // The plan has to pass the checker, together with the routes already in the operator's file.
+  routes::RouteConf all_routes;
+  if (!conf_path.empty()) all_routes = read_operator(conf_path).routes;
+  const std::size_t own_count = all_routes.routes.size();
   conf::Schema routes_schema;
-  routes::register_routes(routes_schema, all);
-  const conf::Document made = conf::parse("the plan", planned.file());
-  const auto wrong_words = routes_schema.apply(made);
-  if (!wrong_words.empty()) throw std::runtime_error(conf::render(made, wrong_words));
+  routes::register_routes(routes_schema, all_routes);
+  const conf::Document plan_document = conf::parse("the plan", result.file());
+  const auto plan_faults = routes_schema.apply(plan_document);
+  if (!plan_faults.empty()) throw std::runtime_error(conf::render(plan_document, plan_faults));
   std::vector<routes::Wrong> wrong;
-  routes::checked(all, config.settings, config.tables, wrong);
+  routes::checked(all_routes, config.settings, config.tables, wrong);
   if (!wrong.empty()) {
-    throw std::runtime_error(
-        (own > 0 ? "beside " + conf_path + " the plan does not pass: " : "the plan does not pass: ") +
-        wrong.front().text);
+    throw std::runtime_error((own_count > 0
+                                  ? "together with " + conf_path + " the plan does not pass the check: "
+                                  : "the plan does not pass the check: ") +
+                             wrong.front().text);
   }
-  out << planned.file();
+  out << result.file();
 }
 
 }  // namespace steprail::commands
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -12,17 +12,17 @@
 tcp::endpoint address(const json& from, const char* field) {
   const std::string text = from.at(field);
   const auto parsed = parse_address(text);
-  if (!parsed) throw std::runtime_error(std::string(field) + " is no address: '" + text + "'");
+  if (!parsed) throw std::runtime_error(std::string(field) + " is no valid address: '" + text + "'");
   return *parsed;
 }
 
-std::uint64_t read_seed(const json& seed) {
+std::uint64_t parse_seed(const json& seed) {
   if (seed.is_number_unsigned()) return seed.get<std::uint64_t>();
   const std::string text = seed;
   std::uint64_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, 16);
   if (error != std::errc{} || end != text.data() + text.size())
-    throw std::runtime_error("seed is no hexadecimal number of 64 bits: '" + text + "'");
+    throw std::runtime_error("seed is no 64-bit hexadecimal number: '" + text + "'");
   return value;
 }
 
@@ -31,12 +31,12 @@
   config.name = from.at("name");
   config.listen = address(from, "listen");
   config.directory = address(from, "coordinator");
-  config.seed = read_seed(from.at("seed"));
+  config.seed = parse_seed(from.at("seed"));
   const json& limits = from.at("limits");
   config.memory_mb = limits.at("memory_mb");
   config.sockets = limits.at("sockets");
-  // The stream tells the list as well.
-  config.known = optional_field(from, "known", json::object());
+  // Optional: the directory stream delivers the list as well.
+  config.known_list = optional_field(from, "known", json::object());
   const json& params = from.at("settings");
   config.settings = read_settings(params, config.tables);
   validate(config.settings);
--- a/src/config.h
+++ b/src/config.h
@@ -1,4 +1,4 @@
-// The configuration of one coordinator.
+// The coordinator's configuration file, as the platform writes it (JSON).
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,18 +12,18 @@
 namespace steprail {
 
 struct Config {
-  std::string path;  // the file it came from, to be read again at SIGHUP
+  std::string path;  // of the file, which SIGHUP reads again
   std::string name;
   tcp::endpoint listen, directory;
   std::uint64_t seed{};
   std::size_t memory_mb{}, sockets{};
-  nlohmann::json known;
+  nlohmann::json known_list;
   Settings settings;
-  EnginePool::Limits engines;  // how many connections is left to the caller
+  EnginePool::Limits engines;  // except `connections` and `sharing`, which the caller sets
   Tables tables;
 };
 
-// Throws std::runtime_error with one plain line where the file cannot be read or used.
+// Throws std::runtime_error with a one-line message if the file cannot be read or used.
 Config read_config(const std::string& path);
 
 }  // namespace steprail
--- a/src/core/coordinator.h
+++ b/src/core/coordinator.h
@@ -1,5 +1,5 @@
-// One coordinator: the table of open requests, the clock, the timers, the decision module and its batch.
-// Everything here runs on one strand.
+// The coordinator: the table of open requests, the clock, the timers, the gateway (decision module) and the
+// batch of events for it. Everything here runs on one strand.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -22,103 +22,107 @@
   Coordinator(Strand strand, EventLog& log, std::uint64_t seed, Settings settings);
   void attach(Engines& engines) { engines_ = &engines; }
   void attach(Routing& routing) { routing_ = &routing; }
-  // Returns the number under which the front's tickets come back to it.
+  // Returns the front's index, to be set in ReplyTarget::front.
   int attach(Front& front);
   void start();
 
-  // Null if the query can be used as the settings stand, else what is wrong with it. The one place that
-  // validates, for every front: what passes here can do no harm to the module or to an engine.
-  const char* unusable(const Query& query) const;
+  // Returns null if the query is valid under the current settings, else the name of the invalid part. Every
+  // front validates here and nowhere else: a query that passes cannot harm the gateway or an engine.
+  const char* validation_error(const Query& query) const;
   const Settings& settings() const { return settings_; }
 
-  // What has happened. Each is gathered, and decided on in the next turn of the loop.
+  // Events. Each is queued and handled in the next event loop iteration.
   void arrived(Query query);
   void client_gone(RequestId id);
   void attempt_ended(AttemptEnd end);
-  void noted(Note note);
+  void note_received(Note note);
   void probed(ProbeResult result);
-  void listed(ListMode mode, std::vector<EngineEntry> entries, std::vector<EngineChange> changes);
-  void routes(RoutesNews news) { gather(std::move(news)); }
+  void list_changed(ListMode mode, std::vector<EngineEntry> entries, std::vector<EngineChange> changes);
+  void routes_changed(RoutesNews update) { enqueue(std::move(update)); }
 
-  // Asks for a turn, at the end of which what waits to be written leaves.
-  void wake();
-  bool knows(RequestId id) const { return open_.contains(id); }
-  // Calls back once, in the turn in which the last open request has got its answer; at once if none is open.
-  void when_empty(std::function<void()> then);
+  // Schedules an event loop iteration, which flushes all pending writes at its end.
+  void schedule_iteration();
+  bool has_request(RequestId id) const { return open_requests_.contains(id); }
+  // Calls back once, in the event loop iteration in which the last unanswered request is answered; at once if
+  // there is none.
+  void when_all_answered(std::function<void()> callback);
   std::size_t unanswered() const { return unanswered_; }
-  // Gives up whatever is open: refused where coming again does no harm, failed otherwise.
+  // Answers all open requests: refused where a retry by the client is safe, failed otherwise.
   void answer_all();
   Micros now() { return clock_.now(); }
 
  private:
-  enum class Out { kNone, kOut, kClosing };  // kClosing: its end waits for the module's next batch
-  struct Open {
+  // Of the request's last attempt. kClosing: its end has not reached the gateway yet.
+  enum class AttemptState { kNone, kInFlight, kClosing };
+  struct OpenRequest {
     Query query;
-    std::uint64_t life{};  // of the id: a client may use it again once it has its answer
+    std::uint64_t generation{};  // clients may reuse a request id once it is answered
     Micros deadline{0};
     bool answered{};
-    int attempts{};  // sent so far; the last of them may be out
-    Out out{Out::kNone};
+    int attempts{};  // sent so far; the last one may be in flight
+    AttemptState attempt_state{AttemptState::kNone};
     int engine{};
-    Micros sent{0};
-    Outcome given_up{};  // what the module is told of an attempt that was given up
-    EndCause given_up_cause{};
-    std::vector<std::string> pages;  // of an attempt that was delivered but not yet told
+    Micros sent_at{0};
+    // The end of an attempt that the coordinator cancelled, or whose connection it closed; reported to the
+    // gateway once the engine must have noticed.
+    Outcome deferred_outcome{};
+    EndCause deferred_cause{};
+    std::vector<std::string> pages;  // of a delivered attempt that the gateway has not handled yet
   };
-  enum class Due { kAlarm, kAttempt, kGivenUp, kRequest };
+  enum class TimeoutKind { kAlarm, kAttempt, kDeferredEnd, kRequest };
   struct Timeout {
     Micros at{0};
-    Due what{Due::kAlarm};
-    std::uint64_t id{};    // of the request; an alarm's label
-    std::uint64_t life{};  // of the request
+    TimeoutKind kind{TimeoutKind::kAlarm};
+    std::uint64_t id{};          // request id, or the label of an alarm
+    std::uint64_t generation{};  // of the request
     int attempt{};
     bool operator>(const Timeout& other) const { return at > other.at; }
   };
 
-  void gather(Event event);
-  void turn();
-  void watch_lateness();
-  void expire();
-  void decide(Event& event);
-  void close(Open& open, Outcome outcome, EndCause cause, LoadReport report = {});
-  void give_up(Open& open, Outcome outcome, EndCause cause);
-  void hold_back(Open& open, Outcome outcome, EndCause cause);
-  void tell_given_up();
-  void finish(Open& open, Answer answer, std::string_view reason);
-  void forget(RequestId id);
-  void arm();
+  void enqueue(Event event);
+  void run_iteration();
+  void log_lateness();
+  void handle_timeouts();
+  void handle_event(Event& event);
+  void close_attempt(OpenRequest& request, Outcome outcome, EndCause cause, LoadReport report = {});
+  void cancel_attempt(OpenRequest& request, Outcome outcome, EndCause cause);
+  void defer_end(OpenRequest& request, Outcome outcome, EndCause cause);
+  void schedule_deferred_ends();
+  void answer_request(OpenRequest& request, Answer answer, std::string_view reason);
+  void erase_if_ended(RequestId id);
+  void arm_timer();
 
-  void carry_out(const Send& send);
-  void carry_out(const Cancel& cancel);
-  void carry_out(const Refuse& refuse);
-  void carry_out(const Fail& fail);
-  void carry_out(const Probe& probe);
-  void carry_out(const Timer& timer);
-  void carry_out(const Log& text);
-  void carry_out(const Terms&) {}      // engines choose memory themselves and heed no priority
-  void carry_out(const Subscribe&) {}  // the directory is followed from the start
-  void carry_out(const FetchList&) {}
+  void execute(const Send& send);
+  void execute(const Cancel& cancel);
+  void execute(const Refuse& refuse);
+  void execute(const Fail& fail);
+  void execute(const Probe& probe);
+  void execute(const Timer& timer);
+  void execute(const Log& text);
+  void execute(const Terms&) {}      // engines choose memory themselves and ignore priorities
+  void execute(const Subscribe&) {}  // the directory is followed from the start
+  void execute(const FetchList&) {}
 
   Strand strand_;
   EventLog& log_;
   Clock clock_;
   Settings settings_;
-  Gateway module_;
+  Gateway gateway_;
   std::vector<Front*> fronts_;
   Routing* routing_{};
   Engines* engines_{};
   boost::asio::steady_timer timer_;
   Micros armed_for_{0};
-  bool turn_posted_{false};
-  Micros now_{0}, next_late_line_{0};
+  bool iteration_posted_{false};
+  Micros now_{0}, next_lateness_log_{0};
   std::size_t unanswered_{0};
-  std::uint64_t lives_{0};
-  std::unordered_map<RequestId, Open> open_;
+  std::uint64_t last_generation_{0};
+  std::unordered_map<RequestId, OpenRequest> open_requests_;
   std::priority_queue<Timeout, std::vector<Timeout>, std::greater<>> timeouts_;
-  std::vector<Event> gathered_, batch_;
-  std::vector<RequestId> given_up_;  // in this turn; the module hears of it later
+  std::vector<Event> pending_events_, batch_;
+  std::vector<RequestId> deferred_ends_;  // of this iteration; reported to the gateway later
   std::vector<Action> actions_;
-  std::function<void()> when_empty_;
+  std::function<void()> when_all_answered_;
 };
 
 }  // namespace steprail
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -1,5 +1,6 @@
-// What the coordinator knows of the protocols around it: a front that takes queries and gives answers, and
-// engines that run them. Neither names a protocol, so that a second front can use the same decisions.
+// The interfaces between the coordinator and the protocols around it: fronts that receive queries and send
+// answers, and the engines that run the queries. They are independent of any protocol, so that every front
+// shares the same decisions.
 #pragma once
 
 #include <string>
@@ -10,66 +11,69 @@
 
 namespace steprail {
 
-// Where an answer goes: a front's own numbers for a client's connection and the call on it.
-struct Ticket {
+// Identifies where an answer has to be sent, by the front's own numbers of the client connection and of the
+// call on it.
+struct ReplyTarget {
   std::uint64_t session{};
   std::int32_t call{};
-  int front{};  // which of the coordinator's fronts, as Coordinator::attach() has numbered it
+  int front{};  // index of the front, as returned by Coordinator::attach()
 };
 
-// Takes the pages of an attempt as they come in, for a front that keeps results itself. Without one the
-// engines gather them and they come with the answer, within the platform's bound on a result.
+// Receives the pages of an attempt as they arrive, for a front that stores results itself. Without a sink the
+// engine pool collects the pages and hands them over with the answer, within the platform's limit on the size
+// of a result.
 class PageSink {
  public:
   enum class Want { kMore, kEnough };
   virtual ~PageSink() = default;
-  // The attempt's answer is there: so many pages, and the first of them. kEnough: the others are of no use;
-  // the engine is let go, and the attempt counts as delivered all the same, for it has run to its end.
+  // The engine has answered with `pages` pages, of which `first` is the first. kEnough: the others are not
+  // needed; the engine's session is released, and the attempt still counts as delivered, because it has run
+  // to its end.
   virtual Want begin(RequestId id, int attempt, std::size_t pages, std::string_view first) = 0;
   virtual Want page(RequestId id, int attempt, std::size_t number, std::string_view bytes) = 0;
-  // The attempt is over without its last page: nothing of it may be used. May be said of one that never
-  // began.
+  // The attempt ended before its last page: none of its pages may be used. May be called for an attempt for
+  // which begin() was never called.
   virtual void lost(RequestId id, int attempt) = 0;
 };
 
 struct Query {
   RequestId id{};
-  std::string name;        // the id as the client wrote it; engines get it unchanged
-  std::string class_name;  // likewise
+  std::string name;        // the id as the client wrote it; sent to engines unchanged
+  std::string class_name;  // as the client wrote it
   int cls{};
   int tenant{-1};
   double estimate_ms{};
   double memory_mb{};
-  int group{-1};
-  bool resent{};
-  Micros taken{0};  // when its last byte was read, Unix time
-  Micros limit{0};  // how long the client waits from then on
+  int table_group{-1};
+  bool client_retry{};
+  Micros received_at{0};  // when the last byte of the request was read, Unix time
+  Micros time_limit{0};   // how long the client waits, counted from received_at
   std::string statement;
-  Ticket ticket;
-  PageSink* sink{};           // null: pages come with the answer
-  std::size_t result_most{};  // bytes, where there is a sink
+  ReplyTarget reply_to;
+  PageSink* sink{};                // null: the pages come with the answer
+  std::size_t max_result_bytes{};  // only used with a sink
 };
 
 enum class Verdict { kServed, kRefused, kFailed };
 
 struct Answer {
   Verdict verdict{Verdict::kFailed};
-  Micros come_back{0};             // refused: when to try again; 0: no advice
-  std::vector<std::string> pages;  // served: the whole result, in order
+  Micros retry_after{0};           // refused: after how long to retry; 0: not stated
+  std::vector<std::string> pages;  // served: all pages of the result, in order
 };
 
 class Front {
  public:
   virtual ~Front() = default;
-  virtual void answer(const Ticket& ticket, Answer answer) = 0;
-  virtual void flush() = 0;  // writes out what the turn has produced
+  virtual void answer(const ReplyTarget& reply_to, Answer answer) = 0;
+  virtual void flush() = 0;  // writes what this event loop iteration has produced
 };
 
 struct Dispatch {
   const Query& query;
   int attempt{};
   int engine{};
-  Micros patience{0};  // how long the coordinator will wait
+  Micros attempt_timeout{0};  // after which the coordinator cancels the attempt
 };
 
 struct EngineChange {
@@ -77,57 +81,58 @@
   std::string name;
   std::string address;
   Standing standing{Standing::kReady};
-  Micros came_up{0};
+  Micros started_at{0};
 };
 
-// What the operator's routes say of each request, on its way to the module. Not there: as without routes.
+// Applies the operator's routes to each request before the gateway decides on it. Optional: null if no routes
+// are configured.
 class Routing {
  public:
-  enum class How { kServed, kFailed, kRefused, kGone };
+  enum class Result { kServed, kFailed, kRefused, kGone };
   virtual ~Routing() = default;
-  // Fills in what concerns routes; left() follows exactly once.
+  // Fills in the route fields of `arrival`; ended() follows exactly once for each request.
   virtual void arrived(const Query& query, Arrival& arrival) = 0;
-  virtual void left(RequestId id, How how) = 0;
-  // The list as it has just changed; what the module has to hear of it, if anything.
-  virtual std::optional<RoutesNews> listed(ListMode mode, const std::vector<EngineEntry>& entries,
-                                           const std::vector<EngineChange>& changes) = 0;
+  virtual void ended(RequestId id, Result result) = 0;
+  // Called after each change of the engine list; returns the update that the gateway needs, if any.
+  virtual std::optional<RoutesNews> list_changed(ListMode mode, const std::vector<EngineEntry>& entries,
+                                                 const std::vector<EngineChange>& changes) = 0;
 };
 
 class Engines {
  public:
   virtual ~Engines() = default;
-  virtual void list(const EngineChange& change) = 0;
+  virtual void apply_change(const EngineChange& change) = 0;
   virtual void send(const Dispatch& dispatch) = 0;
-  virtual void give_up(RequestId id, int attempt) = 0;
+  virtual void cancel(RequestId id, int attempt) = 0;
   virtual void probe(int engine) = 0;
   virtual void flush() = 0;
 };
 
-// The event that ended an attempt. The module hears of the outcome alone; this is for the log.
+// The event that ended an attempt, for the log. The gateway only receives the outcome.
 enum class EndCause {
-  kAnswered,        // the whole result is here
-  kEngineError,     // EIO
-  kEngineFull,      // AGAIN
-  kEngineStale,     // STALE
-  kNoConnection,    // none could be had, or it did not come up
-  kDrained,         // the engine began to drain before the command had left
-  kConnectionLost,  // closed or reset by the engine
-  kEngineReplaced,  // closed here, as the list tells of a later start or another address
-  kCommandsUnread,  // closed here, as the engine did not read
-  kSpoiltAnswer,    // closed here, as something on the connection could not be used
+  kAnswered,         // the whole result was received
+  kEngineError,      // EIO
+  kEngineFull,       // AGAIN
+  kEngineStale,      // STALE
+  kNoConnection,     // no connection was available, or it could not be established
+  kDrained,          // the engine began to drain before the command was sent
+  kConnectionLost,   // closed or reset by the engine
+  kEngineReplaced,   // closed by the coordinator: the list shows a later start or another address
+  kCommandsUnread,   // closed by the coordinator: the engine did not read its commands
+  kMalformedAnswer,  // closed by the coordinator: malformed data on the connection
   kTimedOut,
-  kCalledOff,  // by the module
-  kNotSent     // the request had ended
+  kCancelled,  // by the gateway
+  kNotSent     // the request had already ended
 };
 
-// How an attempt ended, in the engines' words; the coordinator adds what the request's state says.
+// How an attempt ended, as seen by the engine pool; the coordinator adds the state of the request.
 struct AttemptEnd {
   RequestId id{};
   int attempt{};
   Outcome outcome{};
   EndCause cause{};
   LoadReport report;
-  std::vector<std::string> pages;  // delivered: all of them
+  std::vector<std::string> pages;  // delivered: all pages of the result
 };
 
 }  // namespace steprail
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -189,25 +189,25 @@
   query.tenant = tables_.tenants.size() > 0 ? act.tenant : -1;
   query.estimate_ms = act.body.cpu;
   query.memory_mb = act.body.mem;
-  query.limit = Micros{std::clamp<std::int64_t>(act.body.limit_ms, 0, 1'000'000'000) * 1000};
-  query.taken = coordinator_.now();
+  query.time_limit = Micros{std::clamp<std::int64_t>(act.body.limit_ms, 0, 1'000'000'000) * 1000};
+  query.received_at = coordinator_.now();
   query.statement = act.body.statement;
-  query.group = table_group(act.body.statement);
-  query.ticket = {act.request, 0, number_};
-  if (coordinator_.unusable(query) != nullptr || coordinator_.knows(query.id)) {
+  query.table_group = table_group(act.body.statement);
+  query.reply_to = {act.request, 0, number_};
+  if (coordinator_.validation_error(query) != nullptr || coordinator_.has_request(query.id)) {
     Outcome outcome;  // it reaches neither the module nor an engine
     outcome.how = Outcome::How::kRefused;
     return answered(act.request, outcome);
   }
   Running& running = running_[act.request];
   running.tenant = act.tenant;
-  running.give_up = now() + query.limit;
+  running.give_up = now() + query.time_limit;
   running.repeatable =
       coordinator_.settings().classes[static_cast<std::size_t>(query.cls)].effect == Effect::kRepeatable;
-  running.spooled = spool_.submitted(query.id, query.tenant, act.request | kOwnReader, query.limit);
+  running.spooled = spool_.submitted(query.id, query.tenant, act.request | kOwnReader, query.time_limit);
   if (running.spooled) {
     query.sink = &spool_;
-    query.result_most = spool_.settings().logic.result_most;
+    query.max_result_bytes = spool_.settings().logic.result_most;
   }
   coordinator_.arrived(std::move(query));
 }
@@ -223,7 +223,7 @@
   run();
 }
 
-void Edge::answer(const Ticket& ticket, Answer answer) {
+void Edge::answer(const ReplyTarget& ticket, Answer answer) {
   const RequestId id = ticket.session;
   const auto at = running_.find(id);
   if (at == running_.end()) return;
@@ -235,7 +235,7 @@
     if (running.spooled) spool_.ended(id, refused ? spool::End::kRefused : spool::End::kFailed);
     outcome.how = refused ? Outcome::How::kRefused : Outcome::How::kFailed;
     outcome.again = refused || running.repeatable;
-    outcome.later = answer.come_back;
+    outcome.later = answer.retry_after;
     return answered(id, outcome);
   }
   outcome.how = Outcome::How::kServed;
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -47,7 +47,7 @@
   void polled(ConnId conn, Seq have);
 
   // ---- Front ----
-  void answer(const Ticket& ticket, Answer answer) override;
+  void answer(const ReplyTarget& ticket, Answer answer) override;
   void flush() override {}
 
   // At SIGTERM: devices are told; settled() once all that was taken is answered and, as far as devices are
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,4 @@
-// The command line.
+// The command line interface.
 #include <CLI/CLI.hpp>
 #include <iostream>
 
@@ -12,62 +12,69 @@
   hold_signals();
   CLI::App app{"steprail: a coordinator in front of query engines"};
   app.require_subcommand(1);
-  std::string path, own, word;
-  const auto with_config = [&](CLI::App* command) {
-    command->add_option("--config", path, "configuration file (JSON)")->envname("NODE_CONFIG")->required();
-    command->add_option("--conf", own, "operator's file (directives; see help-config)");
+  std::string config_path, conf_path, topic;
+  const auto add_config_options = [&](CLI::App* command) {
+    command->add_option("--config", config_path, "configuration file (JSON)")
+        ->envname("NODE_CONFIG")
+        ->required();
+    command->add_option("--conf", conf_path, "operator's file (directives; see help-config)");
     return command;
   };
-  CLI::App* serve = with_config(app.add_subcommand("serve", "serve until SIGTERM"));
-  CLI::App* check =
-      with_config(app.add_subcommand("check-config", "read the configuration and say if it can be used"));
-  CLI::App* help = app.add_subcommand("help-config", "print what may stand in the operator's file");
-  help->add_option("word", word, "one block or directive");
-  commands::ExplainOptions asked;
+  CLI::App* serve = add_config_options(app.add_subcommand("serve", "serve until SIGTERM"));
+  CLI::App* check = add_config_options(
+      app.add_subcommand("check-config", "read the configuration and check whether it can be used"));
+  CLI::App* help = app.add_subcommand("help-config", "print what the operator's file may contain");
+  help->add_option("word", topic, "a block or directive");
+  commands::ExplainOptions explain_options;
   CLI::App* explain =
-      with_config(app.add_subcommand("explain", "print the route that a request takes, and why"));
-  explain->add_option("--class", asked.cls, "its class")->required();
-  explain->add_option("--tenant", asked.tenant, "its tenant");
-  explain->add_option("--front", asked.front, "platform, spool or edge")->capture_default_str();
-  explain->add_option("--statement", asked.statement, "its statement, which names the group of tables");
-  explain->add_option("--group", asked.group, "the group, where no statement is given");
-  explain->add_option("--work", asked.work_ms, "its estimated work, ms");
-  explain->add_option("--memory", asked.memory_mb, "its estimated memory, MB");
-  std::string traffic;
-  CLI::App* plan =
-      with_config(app.add_subcommand("plan", "print routes for stated traffic, with what each line brings"));
-  plan->add_option("--traffic", traffic, "what comes: rates, times and losses, by class")->required();
+      add_config_options(app.add_subcommand("explain", "print the route that matches a request, and why"));
+  explain->add_option("--class", explain_options.cls, "the request's class")->required();
+  explain->add_option("--tenant", explain_options.tenant, "the request's tenant");
+  explain->add_option("--front", explain_options.front, "the front that receives it: platform, spool or edge")
+      ->capture_default_str();
+  explain->add_option("--statement", explain_options.statement,
+                      "the statement, from which the table group is derived");
+  explain->add_option("--group", explain_options.group, "the table group, if no statement is given");
+  explain->add_option("--work", explain_options.work_ms, "estimated work, ms");
+  explain->add_option("--memory", explain_options.memory_mb, "estimated memory, MB");
+  std::string traffic_path;
+  CLI::App* plan = add_config_options(app.add_subcommand(
+      "plan", "print proposed routes for the given traffic, with what each line achieves"));
+  plan->add_option("--traffic", traffic_path,
+                   "file that states what traffic to expect: rates, times and losses by class")
+      ->required();
   CLI::App* version = app.add_subcommand("version", "print the version");
   CLI11_PARSE(app, argc, argv);
-  // The other commands are ended by what ends any command; serving takes its signals once it has handlers.
+  // Signals end the other commands as usual; serve releases them once its handlers are installed.
   if (!*serve) release_signals();
   try {
     if (*version) std::cout << "steprail " STEPRAIL_VERSION "\n";
     if (*help) {
       conf::Schema schema;
       OperatorConf conf;
-      register_all(schema, conf);
-      const std::string text = schema.reference(word);
-      if (text.empty()) throw std::runtime_error("no block or directive is named '" + word + "'");
+      register_blocks(schema, conf);
+      const std::string text = schema.reference(topic);
+      if (text.empty()) throw std::runtime_error("no block or directive is named '" + topic + "'");
       std::cout << text;
     }
-    const auto read_own = [&] { return own.empty() ? OperatorConf{} : read_operator(own); };
+    const auto read_conf = [&] { return conf_path.empty() ? OperatorConf{} : read_operator(conf_path); };
     if (*check) {
-      const Config config = read_config(path);
-      const OperatorConf conf = read_own();
-      const std::string fault = misfit(conf, config.memory_mb, config.sockets);
-      if (!fault.empty()) throw std::runtime_error(own + ": " + fault);
-      routes_of(conf, config.settings, config.tables);
+      const Config config = read_config(config_path);
+      const OperatorConf conf = read_conf();
+      const std::string fault = limit_violation(conf, config.memory_mb, config.sockets);
+      if (!fault.empty()) throw std::runtime_error(conf_path + ": " + fault);
+      resolve_routes(conf, config.settings, config.tables);
       std::cout << config.name << ": can be used\n";
     }
     if (*explain) {
-      if (own.empty()) throw std::runtime_error("explain needs --conf: routes stand in the operator's file");
-      asked.config = path, asked.conf = own;
-      commands::explain(asked, std::cout);
+      if (conf_path.empty())
+        throw std::runtime_error("explain needs --conf: routes are defined in the operator's file");
+      explain_options.config = config_path, explain_options.conf = conf_path;
+      commands::explain(explain_options, std::cout);
     }
-    if (*plan) commands::plan(path, own, traffic, std::cout);
+    if (*plan) commands::plan(config_path, conf_path, traffic_path, std::cout);
     if (*serve) {
-      Server server(read_config(path), read_own());
+      Server server(read_config(config_path), read_conf());
       server.start();
       server.io().run();
     }
--- a/src/net/directory.cpp
+++ b/src/net/directory.cpp
@@ -219,7 +219,7 @@
       Row& known = rows_[read.entry.engine];
       const EngineChange& was = known.change;
       if (was.name != read.change.name || was.address != read.change.address ||
-          was.standing != read.change.standing || was.came_up != read.change.came_up)
+          was.standing != read.change.standing || was.started_at != read.change.started_at)
         log_.line("engine " + std::to_string(read.entry.engine) + " is " + read.change.name + " at " +
                   read.change.address + ", " + row.at("status").get<std::string>());
       known = read;
@@ -237,7 +237,7 @@
   for (const auto& [name, engine] : tables_.engines.known()) {
     if (!whole || named.contains(engine)) continue;
     const EngineChange& was = rows_[engine].change;
-    changes.push_back({engine, name, was.address, Standing::kGone, was.came_up});
+    changes.push_back({engine, name, was.address, Standing::kGone, was.started_at});
   }
   for (const EngineChange& change : changes) {
     if (change.standing == Standing::kGone) {
@@ -248,10 +248,10 @@
     }
   }
   last_ = index;
-  coordinator_.listed(first   ? ListMode::kSaved
-                      : whole ? ListMode::kFull
-                              : ListMode::kIncremental,
-                      std::move(entries), std::move(changes));
+  coordinator_.list_changed(first   ? ListMode::kSaved
+                            : whole ? ListMode::kFull
+                                    : ListMode::kIncremental,
+                            std::move(entries), std::move(changes));
 }
 
 }  // namespace steprail
--- a/src/net/engine_line.cpp
+++ b/src/net/engine_line.cpp
@@ -127,7 +127,7 @@
 
 std::string serve_command(const Dispatch& dispatch) {
   const Query& query = dispatch.query;
-  const auto ttl = std::max<std::int64_t>(1, dispatch.patience.count() / 1000);
+  const auto ttl = std::max<std::int64_t>(1, dispatch.attempt_timeout.count() / 1000);
   std::string command = "serve " + query.name + " lane=" + query.class_name + ",ttl=" + std::to_string(ttl) +
                         ' ' + std::to_string(query.statement.size()) + "\r\n";
   return command.append(query.statement).append(kEnd);
--- a/src/net/engine_pool.cpp
+++ b/src/net/engine_pool.cpp
@@ -97,9 +97,9 @@
     slot.attempt = dispatch.attempt;
     slot.tag = ++last_tag_;
     slot.sent = pool_.coordinator_.now();
-    slot.deadline = dispatch.query.taken + dispatch.query.limit;
+    slot.deadline = dispatch.query.received_at + dispatch.query.time_limit;
     slot.sink = dispatch.query.sink;
-    slot.result_most = slot.sink != nullptr ? dispatch.query.result_most : kResultMost;
+    slot.result_most = slot.sink != nullptr ? dispatch.query.max_result_bytes : kResultMost;
     slot.alone = pool_.runs_once(dispatch.query);
     pool_.log_.event(
         Level::kDebug, "queued",
@@ -181,7 +181,7 @@
   // The peer broke the protocol, or off within an answer: nothing that follows on this connection can be
   // trusted. The engine was there to answer all the same, so that this is no sign of its health.
   void spoilt(const std::string& reason) {
-    lost_by_ = EndCause::kSpoiltAnswer;
+    lost_by_ = EndCause::kMalformedAnswer;
     close(reason);
   }
 
@@ -211,7 +211,7 @@
       if (slot.sink != nullptr) slot.sink->lost(id, slot.attempt);
       // What the engine cannot have read whole never ran; of the rest nobody knows.
       const bool unwritten = !up_ || out_.holds(slot.tag);
-      const Outcome lost = lost_by_ == EndCause::kSpoiltAnswer ? Outcome::kAppError : Outcome::kDropped;
+      const Outcome lost = lost_by_ == EndCause::kMalformedAnswer ? Outcome::kAppError : Outcome::kDropped;
       end(id, slot, unwritten ? Outcome::kDialFailed : lost, up_ ? lost_by_ : EndCause::kNoConnection, {},
           {});
     }
@@ -255,7 +255,7 @@
   void mark() {
     if (std::exchange(dirty_, true)) return;
     pool_.dirty_.push_back(shared_from_this());
-    pool_.coordinator_.wake();
+    pool_.coordinator_.schedule_iteration();
   }
   void set_options() {
     error_code ignored;
@@ -367,7 +367,7 @@
     } else if (answer.why != "pct") {
       return;
     }
-    pool_.coordinator_.noted(note);
+    pool_.coordinator_.note_received(note);
   }
 
   bool acknowledged(std::unordered_map<RequestId, Slot>::iterator at, const EngineAnswer& answer) {
@@ -463,7 +463,7 @@
 
 EnginePool::~EnginePool() = default;
 
-void EnginePool::list(const EngineChange& change) {
+void EnginePool::apply_change(const EngineChange& change) {
   const auto index = static_cast<std::size_t>(change.engine);
   if (index >= engines_.size()) engines_.resize(index + 1);
   Engine& engine = engines_[index];
@@ -478,7 +478,7 @@
       line->close({});
       continue;
     }
-    const bool dead = moved || (change.came_up > engine.came_up && line->opened() < change.came_up);
+    const bool dead = moved || (change.started_at > engine.came_up && line->opened() < change.started_at);
     if (dead) line->replaced();
   }
   if (moved) {
@@ -486,7 +486,7 @@
     engine.endpoint = parse_address(change.address);
     if (!engine.endpoint) log_.line("engine " + engine.name + " has no usable address: " + engine.address);
   }
-  engine.came_up = change.came_up;
+  engine.came_up = change.started_at;
 }
 
 bool EnginePool::runs_once(const Query& query) const {
@@ -561,7 +561,7 @@
   coordinator_.attempt_ended({id, attempt, Outcome::kDialFailed, cause, {}, {}});
 }
 
-void EnginePool::give_up(RequestId id, int attempt) {
+void EnginePool::cancel(RequestId id, int attempt) {
   const auto at = where_.find(id);
   if (at == where_.end()) return;
   const auto line = std::move(at->second);
--- a/src/net/engine_pool.h
+++ b/src/net/engine_pool.h
@@ -31,9 +31,9 @@
   EnginePool(Strand strand, Coordinator& coordinator, EventLog& log, Limits limits);
   ~EnginePool() override;
 
-  void list(const EngineChange& change) override;
+  void apply_change(const EngineChange& change) override;
   void send(const Dispatch& dispatch) override;
-  void give_up(RequestId id, int attempt) override;
+  void cancel(RequestId id, int attempt) override;
   void probe(int engine) override;
   void flush() override;
 
--- a/src/net/framed.cpp
+++ b/src/net/framed.cpp
@@ -90,7 +90,7 @@
 void FramedServer::Session::mark() {
   if (std::exchange(dirty_, true)) return;
   server_.dirty_.push_back(shared_from_this());
-  server_.coordinator_.wake();
+  server_.coordinator_.schedule_iteration();
 }
 
 void FramedServer::Session::write() {
--- a/src/net/front.cpp
+++ b/src/net/front.cpp
@@ -65,8 +65,8 @@
       push(thrift::thrown(call, "execute", 1, {}));
       return mark();
     }
-    query.ticket = {number(), call, front_.number_};
-    query.group = table_group(body);
+    query.reply_to = {number(), call, front_.number_};
+    query.table_group = table_group(body);
     open_[call] = query.id;
     front_.coordinator_.arrived(std::move(query));
   }
@@ -91,7 +91,7 @@
   return std::make_shared<Client>(*this, std::move(socket), number);
 }
 
-void ThriftFront::answer(const Ticket& ticket, Answer answer) {
+void ThriftFront::answer(const ReplyTarget& ticket, Answer answer) {
   auto* client = static_cast<Client*>(find(ticket.session));
   if (client == nullptr) return;
   client->done(ticket.call);
@@ -103,7 +103,7 @@
     client->push(thrift::served_tail(true));
   } else if (answer.verdict == Verdict::kRefused) {
     std::vector<std::pair<std::string, std::string>> fields;
-    const std::int64_t wait = answer.come_back.count() / 1000;
+    const std::int64_t wait = answer.retry_after.count() / 1000;
     if (wait > 0) fields.emplace_back("later", std::to_string(wait));
     client->push(thrift::thrown(ticket.call, "execute", 1, fields));
   } else {
--- a/src/net/front.h
+++ b/src/net/front.h
@@ -10,7 +10,7 @@
  public:
   ThriftFront(Strand strand, Coordinator& coordinator, EventLog& log, const Tables& tables, Limits limits);
 
-  void answer(const Ticket& ticket, Answer answer) override;
+  void answer(const ReplyTarget& ticket, Answer answer) override;
   void flush() override { write_dirty(); }
 
  private:
--- a/src/net/query_fields.cpp
+++ b/src/net/query_fields.cpp
@@ -26,7 +26,7 @@
     } else if (name == "team") {
       query.tenant = tables.tenants.index(value);
     } else if (name == "second") {
-      query.resent = value == "1";
+      query.client_retry = value == "1";
     } else if (name == "cpu") {
       work = parse_number(value);
     } else if (name == "mem") {
@@ -37,13 +37,13 @@
   if (!limit || *limit > kLimitMost) return "limit";
   if (!work) return "cpu";
   if (!memory) return "mem";
-  if (coordinator.knows(*id)) return "txn in use";
+  if (coordinator.has_request(*id)) return "txn in use";
   query.id = *id;
   query.estimate_ms = *work;
   query.memory_mb = *memory;
-  query.limit = Micros{*limit * 1000};
-  query.taken = coordinator.now();
-  return coordinator.unusable(query);
+  query.time_limit = Micros{*limit * 1000};
+  query.received_at = coordinator.now();
+  return coordinator.validation_error(query);
 }
 
 std::string_view field(const thrift::Fields& fields, std::string_view name) {
--- a/src/operator.cpp
+++ b/src/operator.cpp
@@ -10,13 +10,13 @@
 
 using Given = conf::Directive::Given;
 
-void register_all(conf::Schema& schema, OperatorConf& into) {
-  conf::Block& log = schema.block("log", "The log on standard error.");
-  log.directive("format", "lines of words, or one JSON object a line")
+void register_blocks(conf::Schema& schema, OperatorConf& into) {
+  conf::Block& log = schema.block("log", "The log, written to standard error.");
+  log.directive("format", "plain text lines, or one JSON object per line")
       .choice({"text", "json"})
       .standard("text")
       .take([&into](const Given& given) { return into.log.json = given.text(0) == "json", std::string(); });
-  log.directive("level", "what is left out below")
+  log.directive("level", "the lowest level of what is logged; lines below it are left out")
       .choice({"debug", "info", "warn", "error"})
       .standard("info")
       .take([&into](const Given& given) {
@@ -27,7 +27,8 @@
                                           : Level::kError;
         return std::string();
       });
-  conf::Block& metrics = schema.block("metrics", "Counters and gauges, in the text exposition format.");
+  conf::Block& metrics =
+      schema.block("metrics", "Counters and gauges, in the Prometheus text exposition format.");
   metrics.directive("file", "replaced as a whole at SIGUSR1")
       .path("FILE")
       .required()
@@ -39,11 +40,11 @@
 
 namespace {
 
-void reject(const conf::Document& document, const std::vector<conf::Fault>& faults) {
+void throw_on_faults(const conf::Document& document, const std::vector<conf::Fault>& faults) {
   if (faults.empty()) return;
-  std::string told = conf::render(document, faults);
-  told.pop_back();
-  throw std::runtime_error("operator's file cannot be used:\n" + told);
+  std::string message = conf::render(document, faults);
+  message.pop_back();
+  throw std::runtime_error("operator's file cannot be used:\n" + message);
 }
 
 }  // namespace
@@ -56,29 +57,30 @@
   OperatorConf conf;
   conf.path = path;
   conf::Schema schema;
-  register_all(schema, conf);
+  register_blocks(schema, conf);
   conf.document = conf::parse(path, text.str());
-  reject(conf.document, schema.apply(conf.document));
+  throw_on_faults(conf.document, schema.apply(conf.document));
   return conf;
 }
 
-routes::RouteSet routes_of(const OperatorConf& conf, const Settings& settings, const Tables& tables) {
+routes::RouteSet resolve_routes(const OperatorConf& conf, const Settings& settings, const Tables& tables) {
   std::vector<routes::Wrong> wrong;
   routes::RouteSet set = routes::checked(conf.routes, settings, tables, wrong);
   std::vector<conf::Fault> faults;
   for (const routes::Wrong& one : wrong) {
-    // The whole directive is shown.
+    // Mark the whole directive in the message.
     const std::string& line = conf.document.lines.at(one.line - 1);
     const std::size_t from = std::min(line.find_first_not_of(" \t"), line.size());
     const std::size_t end = std::min(line.find_last_not_of(" \t\r") + 1, line.size());
     faults.push_back({one.line, from + 1, std::max<std::size_t>(1, end - from), one.text});
   }
-  reject(conf.document, faults);
+  throw_on_faults(conf.document, faults);
   return set;
 }
 
-std::string misfit(const OperatorConf& conf, std::size_t memory_mb, std::size_t sockets) {
-  if (conf.edge.on && !conf.spool.on) return "edge: it keeps its rows in the block 'spool', which is missing";
+std::string limit_violation(const OperatorConf& conf, std::size_t memory_mb, std::size_t sockets) {
+  if (conf.edge.on && !conf.spool.on)
+    return "edge: it stores its rows in the spool, but the block 'spool' is missing";
   if (conf.edge.on && conf.edge.connections > sockets / 3)
     return "edge: 'connections' is more than a third of the " + std::to_string(sockets) +
            " descriptors that the coordinator has";
--- a/src/operator.h
+++ b/src/operator.h
@@ -1,4 +1,5 @@
-// The operator's own file: what is on beyond the platform's part, and how. All of it is off without the file.
+// The operator's file: enables and configures everything beyond the platform's own service. Without the file,
+// all of that is off.
 #pragma once
 
 #include <string>
@@ -12,27 +13,28 @@
 namespace steprail {
 
 struct OperatorConf {
-  std::string path;  // empty: there is none
+  std::string path;  // empty: there is no file
   LogSettings log;
-  std::string metrics_file;  // written at SIGUSR1; empty: SIGUSR1 is not for us
+  std::string metrics_file;  // written at SIGUSR1; empty: SIGUSR1 is not handled
   spool::SpoolSettings spool;
   edge::EdgeConf edge;
   routes::RouteConf routes;
-  conf::Document document;  // as it was read, to show faults that are found later in their place
+  conf::Document document;  // as read, to show errors that are found later at their place
 };
 
-// The routes, resolved and checked against the platform's settings. Throws std::runtime_error with all
-// faults.
-routes::RouteSet routes_of(const OperatorConf& conf, const Settings& settings, const Tables& tables);
+// Resolves the routes and checks them against the platform's settings. Throws std::runtime_error that lists
+// all errors.
+routes::RouteSet resolve_routes(const OperatorConf& conf, const Settings& settings, const Tables& tables);
 
-// Registers every part's block; a document that is applied fills `into` in.
-void register_all(conf::Schema& schema, OperatorConf& into);
+// Registers the blocks of all subsystems; applying a document fills `into`.
+void register_blocks(conf::Schema& schema, OperatorConf& into);
 
-// Throws std::runtime_error with all faults, each with its place, where the file cannot be read or used.
+// Throws std::runtime_error that lists all errors with their places if the file cannot be read or used.
 OperatorConf read_operator(const std::string& path);
 
-// What does not fit the platform's limits, or a reload cannot change; empty where all is well.
-std::string misfit(const OperatorConf& conf, std::size_t memory_mb, std::size_t sockets);
+// Returns why the file does not fit the platform's limits; empty if it does.
+std::string limit_violation(const OperatorConf& conf, std::size_t memory_mb, std::size_t sockets);
+// Returns the first block or directive that differs and cannot change in a reload; empty if none.
 std::string needs_restart(const OperatorConf& running, const OperatorConf& fresh);
 
 }  // namespace steprail
--- a/src/routes/routes.cpp
+++ b/src/routes/routes.cpp
@@ -3,7 +3,8 @@
 namespace steprail::routes {
 
 Facts facts_of(const Query& query) {
-  return {query.cls, query.tenant, query.group, query.ticket.front, query.estimate_ms, query.memory_mb};
+  return {query.cls,         query.tenant,   query.table_group, query.reply_to.front,
+          query.estimate_ms, query.memory_mb};
 }
 
 Routes::Routes(Coordinator& coordinator, EventLog& log, Metrics& metrics, const Tables& tables, RouteSet set)
@@ -15,7 +16,7 @@
       entered_(metrics.gauge("steprail_routes_entered_total", "Requests that their route let in.")),
       turned_(metrics.gauge("steprail_routes_turned_total", "Requests for which their route had no place.")) {
   coordinator_.attach(*this);
-  coordinator_.routes(logic_.news());
+  coordinator_.routes_changed(logic_.news());
 }
 
 std::vector<double> Routes::weights() const {
@@ -26,7 +27,7 @@
 
 void Routes::reconfigure(RouteSet set) {
   logic_.reconfigure(std::move(set), weights(), coordinator_.now());
-  coordinator_.routes(logic_.news());
+  coordinator_.routes_changed(logic_.news());
   log_.event(Level::kInfo, "routes-taken",
              {{"routes", logic_.set().routes.size()}, {"pools", logic_.set().pools.size()}});
 }
@@ -37,18 +38,18 @@
   arrival.no_place = entry.let != Let::kIn;
 }
 
-void Routes::left(RequestId id, How how) {
+void Routes::ended(RequestId id, Result how) {
   using To = RouteLogic::How;
   logic_.left(id,
-              how == How::kServed    ? To::kServed
-              : how == How::kRefused ? To::kRefused
-              : how == How::kGone    ? To::kGone
-                                     : To::kFailed,
+              how == Result::kServed    ? To::kServed
+              : how == Result::kRefused ? To::kRefused
+              : how == Result::kGone    ? To::kGone
+                                        : To::kFailed,
               coordinator_.now());
 }
 
-std::optional<RoutesNews> Routes::listed(ListMode mode, const std::vector<EngineEntry>& entries,
-                                         const std::vector<EngineChange>&) {
+std::optional<RoutesNews> Routes::list_changed(ListMode mode, const std::vector<EngineEntry>& entries,
+                                               const std::vector<EngineChange>&) {
   if (mode == ListMode::kFailed) return std::nullopt;
   if (mode != ListMode::kIncremental) engines_.clear();
   for (const EngineEntry& entry : entries) {
--- a/src/routes/routes.h
+++ b/src/routes/routes.h
@@ -18,9 +18,9 @@
 
   // ---- Routing ----
   void arrived(const Query& query, Arrival& arrival) override;
-  void left(RequestId id, How how) override;
-  std::optional<RoutesNews> listed(ListMode mode, const std::vector<EngineEntry>& entries,
-                                   const std::vector<EngineChange>& changes) override;
+  void ended(RequestId id, Result how) override;
+  std::optional<RoutesNews> list_changed(ListMode mode, const std::vector<EngineEntry>& entries,
+                                         const std::vector<EngineChange>& changes) override;
 
   void observe();
   const RouteLogic& logic() const { return logic_; }
--- a/src/server.h
+++ b/src/server.h
@@ -1,4 +1,4 @@
-// A coordinator put together: started, served with, and stopped.
+// The whole coordinator process: its components, their start, reload and stop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,23 +19,24 @@
 
 class Server {
  public:
-  // Throws std::runtime_error with one plain line where a part that the operator's file turns on cannot be.
+  // Throws std::runtime_error with a one-line message if a component that the operator's file enables cannot
+  // be created.
   explicit Server(Config config, OperatorConf conf = {}, spool::Substitutes substitutes = {},
                   std::unique_ptr<spool::Index> ledger = nullptr);
   ~Server();
-  // From here on clients can come; the loop itself is the caller's, by io().
+  // Opens the listeners; the caller has to run the event loop, io().
   void start();
-  // As at SIGTERM: what was taken is answered, then the loop ends.
+  // As at SIGTERM: answers the requests that were accepted, then stops the event loop.
   void stop();
-  // As at SIGHUP: reads the configuration's file again and follows the directory at the address it names.
+  // As at SIGHUP: reads the configuration files again, and follows the directory at the address found there.
   void reload();
   boost::asio::io_context& io() { return io_; }
-  // The last event of the list that was taken.
-  std::int64_t listed() const { return directory_.last(); }
+  // The index of the last directory event that was applied to the engine list.
+  std::int64_t last_list_event() const { return directory_.last(); }
   tcp::endpoint endpoint() const { return endpoint_; }
-  // Of the second service, where it is on.
+  // Of the spool's reader service, if enabled.
   tcp::endpoint reader_endpoint() const { return reader_endpoint_; }
-  // Of the edge, where it is on.
+  // Of the edge, if enabled.
   tcp::endpoint edge_endpoint() const { return edge_endpoint_; }
   edge::Edge* edge() { return edge_.get(); }
   routes::Routes* routes() { return routes_.get(); }
@@ -44,42 +45,42 @@
   std::uint64_t broken_invariants() const { return log_.broken_count(); }
 
  private:
-  std::size_t client_limit() const;
+  std::size_t max_client_connections() const;
   EnginePool::Limits engine_limits() const;
-  Micros reference_time() const;
+  Micros request_settle_time() const;
   Micros longest_request() const;
-  void leave();
+  void end_when_written();
   void await_signal();
-  void open_front();
+  void listen_for_clients();
   void end();
-  void start_parts(spool::Substitutes substitutes, std::unique_ptr<spool::Index> ledger);
+  void create_components(spool::Substitutes substitutes, std::unique_ptr<spool::Index> ledger);
   FramedServer::Limits reader_limits() const;
   edge::Fronts::Limits edge_limits() const;
   void write_metrics();
-  void take_routes(routes::RouteSet set);
+  void apply_routes(routes::RouteSet set);
 
   Config config_;
-  OperatorConf conf_;
+  OperatorConf operator_conf_;
   EventLog log_;
   boost::asio::io_context io_{1};
   Strand strand_;
   boost::asio::signal_set signals_;
-  boost::asio::steady_timer grace_, last_call_, last_;
+  boost::asio::steady_timer grace_timer_, final_answer_timer_, end_timer_;
   Coordinator coordinator_;
   EnginePool engines_;
   ThriftFront front_;
   Directory directory_;
-  // What the operator's file turns on; null where it does not.
+  // Enabled by the operator's file; null otherwise.
   std::unique_ptr<Metrics> metrics_;
   std::unique_ptr<spool::Spool> spool_;
   std::unique_ptr<spool::ReaderFront> readers_;
   std::unique_ptr<edge::Edge> edge_;
   std::unique_ptr<routes::Routes> routes_;
   std::unique_ptr<edge::Fronts> edge_fronts_;
-  std::unique_ptr<Worker> errands_;  // the metrics file is written off the loop
+  std::unique_ptr<Worker> file_writer_;  // writes the metrics file outside the event loop
   tcp::endpoint endpoint_, reader_endpoint_, edge_endpoint_;
   std::chrono::steady_clock::time_point drain_until_{}, listen_until_{};
-  bool stopping_{false}, told_held_{false};
+  bool stopping_{false}, logged_address_held_{false};
 };
 
 }  // namespace steprail
--- a/src/spool/reader_front.cpp
+++ b/src/spool/reader_front.cpp
@@ -166,12 +166,12 @@
     if (front_.refusing_ || calls_.size() >= front_.limits_.calls)
       return refuse(call, "submit", {"refused", "nothing new is taken here now", true}, true);
     // Its answer comes back under the request's own number: it may outlive this connection.
-    query.ticket = {query.id, 0, front_.number_};
-    query.group = table_group(body);
-    const bool spooled = front_.spool_.submitted(query.id, query.tenant, number(), query.limit);
+    query.reply_to = {query.id, 0, front_.number_};
+    query.table_group = table_group(body);
+    const bool spooled = front_.spool_.submitted(query.id, query.tenant, number(), query.time_limit);
     if (spooled) {
       query.sink = &front_.spool_;
-      query.result_most = front_.spool_.settings().logic.result_most;
+      query.max_result_bytes = front_.spool_.settings().logic.result_most;
     }
     const auto cls = static_cast<std::size_t>(query.cls);
     const bool repeatable = front_.coordinator_.settings().classes[cls].effect == Effect::kRepeatable;
@@ -311,7 +311,7 @@
   return std::make_shared<Reader>(*this, std::move(socket), number);
 }
 
-void ReaderFront::answer(const Ticket& ticket, Answer answer) {
+void ReaderFront::answer(const ReplyTarget& ticket, Answer answer) {
   const RequestId id = ticket.session;
   const auto at = waiting_.find(id);
   if (at == waiting_.end()) return;
@@ -326,8 +326,8 @@
     if (waiting.spooled) spool_.ended(id, why);
     if (reader == nullptr) return;
     thrift::Texts more;
-    if (answer.come_back.count() >= 1000)
-      more.emplace_back("later", std::to_string(answer.come_back.count() / 1000));
+    if (answer.retry_after.count() >= 1000)
+      more.emplace_back("later", std::to_string(answer.retry_after.count() / 1000));
     return reader->refuse(waiting.call, method, refusal(why), refused || waiting.repeatable, std::move(more));
   }
   if (waiting.spooled) {
--- a/src/spool/reader_front.h
+++ b/src/spool/reader_front.h
@@ -16,7 +16,7 @@
   ReaderFront(Strand strand, Coordinator& coordinator, EventLog& log, const Tables& tables, Spool& spool,
               Limits limits);
 
-  void answer(const Ticket& ticket, Answer answer) override;
+  void answer(const ReplyTarget& ticket, Answer answer) override;
   void flush() override { write_dirty(); }
 
  private:
--- a/standins/client.cpp
+++ b/standins/client.cpp
@@ -11,21 +11,21 @@
 
 namespace {
 
-std::string number(std::uint64_t value, int bytes) {
+std::string encode_integer(std::uint64_t value, int bytes) {
   std::string out;
   for (int shift = 8 * (bytes - 1); shift >= 0; shift -= 8) out.push_back(static_cast<char>(value >> shift));
   return out;
 }
-std::string text(const std::string& s) { return number(s.size(), 4) + s; }
-std::string frame(int kind, const std::string& method, std::int32_t call, const std::string& args) {
-  return text(number(0x80010000u | static_cast<unsigned>(kind), 4) + text(method) +
-              number(static_cast<std::uint32_t>(call), 4) + args);
+std::string encode_string(const std::string& s) { return encode_integer(s.size(), 4) + s; }
+std::string encode_message(int kind, const std::string& method, std::int32_t call, const std::string& args) {
+  return encode_string(encode_integer(0x80010000u | static_cast<unsigned>(kind), 4) + encode_string(method) +
+                       encode_integer(static_cast<std::uint32_t>(call), 4) + args);
 }
 
 void read_fields(thrift::Reader& reader, Fields& fields) {
   reader.u8();
   reader.u8();
-  for (std::int32_t left = reader.i32(); left > 0 && reader.good(); --left) {
+  for (std::int32_t remaining = reader.i32(); remaining > 0 && reader.good(); --remaining) {
     std::string name(reader.bytes());
     fields[std::move(name)] = std::string(reader.bytes());
   }
@@ -36,20 +36,22 @@
 std::string encode_call(const std::string& method, std::int32_t call, const Fields& fields,
                         const std::string& body) {
   std::string args(1, '\x0d');
-  args.append(number(1, 2)).append("\x0b\x0b").append(number(fields.size(), 4));
-  for (const auto& [name, value] : fields) args += text(name) + text(value);
-  if (!body.empty()) args.append("\x0b").append(number(2, 2)).append(text(body));
+  args.append(encode_integer(1, 2)).append("\x0b\x0b").append(encode_integer(fields.size(), 4));
+  for (const auto& [name, value] : fields) args += encode_string(name) + encode_string(value);
+  if (!body.empty()) args.append("\x0b").append(encode_integer(2, 2)).append(encode_string(body));
   args.push_back('\0');
-  return frame(1, method, call, args);
+  return encode_message(1, method, call, args);
 }
 
 std::string encode_interrupt(std::int32_t call) {
   std::string args(1, '\x08');
-  args.append(number(1, 2)).append(number(static_cast<std::uint32_t>(call), 4)).push_back('\0');
-  return frame(4, "interrupt", 0, args);
+  args.append(encode_integer(1, 2))
+      .append(encode_integer(static_cast<std::uint32_t>(call), 4))
+      .push_back('\0');
+  return encode_message(4, "interrupt", 0, args);
 }
 
-std::string encode_check(std::int32_t call) { return frame(1, "check", call, std::string(1, '\0')); }
+std::string encode_check(std::int32_t call) { return encode_message(1, "check", call, std::string(1, '\0')); }
 
 Client::Client(asio::io_context& io, const tcp::endpoint& to) : socket_(io) {
   socket_.connect(to);
@@ -59,24 +61,25 @@
 
 void Client::write(const std::string& bytes) {
   error_code error;
-  std::size_t done = 0;
-  while (done < bytes.size() && !error) {
-    done += socket_.write_some(asio::buffer(bytes.data() + done, bytes.size() - done), error);
+  std::size_t written = 0;
+  while (written < bytes.size() && !error) {
+    written += socket_.write_some(asio::buffer(bytes.data() + written, bytes.size() - written), error);
     if (error == asio::error::would_block) error = {};
   }
   if (error) ended_ = true;
 }
 
-std::optional<Reply> Client::take(std::size_t most) {
+std::optional<Reply> Client::next_reply(std::size_t max_bytes) {
   char bytes[16384];
   error_code error;
-  while (most > 0 && !ended_ && socket_.is_open()) {
-    const std::size_t count = socket_.read_some(asio::buffer(bytes, std::min(most, sizeof bytes)), error);
+  while (max_bytes > 0 && !ended_ && socket_.is_open()) {
+    const std::size_t count =
+        socket_.read_some(asio::buffer(bytes, std::min(max_bytes, sizeof bytes)), error);
     if (error == asio::error::would_block) break;
     if (error) ended_ = true;
     in_.append(bytes, count);
-    received_ += count;
-    most -= std::min(most, count);
+    bytes_received_ += count;
+    max_bytes -= std::min(max_bytes, count);
   }
   const std::int64_t length = in_.size() < 4 ? -1 : thrift::frame_length(in_);
   if (length < 0 || in_.size() < 4 + static_cast<std::size_t>(length)) return std::nullopt;
--- a/standins/client.h
+++ b/standins/client.h
@@ -1,5 +1,5 @@
-// A stand-in for a client or a reader: calls in Thrift's framed binary protocol, written and read without
-// waiting, at a pace of its own.
+// A scripted client or reader for tests: calls in Thrift's framed binary protocol, over a non-blocking socket
+// that is read only as fast as the test wants.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -21,8 +21,8 @@
 
 struct Reply {
   std::int32_t call{};
-  int kind{};     // Thrift's: 2 reply, 3 exception
-  int field{-1};  // 0 served, 1 refused, 2 failed
+  int kind{};     // Thrift's message type: 2 reply, 3 exception
+  int field{-1};  // of the result: 0 served, 1 refused, 2 failed
   Fields fields;
   std::string body;
   bool good{};
@@ -40,19 +40,19 @@
             const std::string& body = {}) {
     write(encode_call(method, call, fields, body));
   }
-  // The next whole reply that is here, reading so many bytes at most from the connection.
-  std::optional<Reply> take(std::size_t most = 1 << 20);
+  // Returns the next complete reply, if there is one; reads at most `max_bytes` from the connection.
+  std::optional<Reply> next_reply(std::size_t max_bytes = 1 << 20);
   bool ended() const { return ended_; }
   void close() { socket_.close(); }
-  // As a machine does that has lost its link: the other side hears a reset.
+  // Closes the connection such that the other side sees a reset, as after the loss of a machine or its link.
   void reset();
   tcp::socket& socket() { return socket_; }
-  std::uint64_t received() const { return received_; }
+  std::uint64_t bytes_received() const { return bytes_received_; }
 
  private:
   tcp::socket socket_;
   std::string in_;
-  std::uint64_t received_{0};
+  std::uint64_t bytes_received_{0};
   bool ended_{false};
 };
 
--- a/standins/lab.cpp
+++ b/standins/lab.cpp
@@ -22,7 +22,7 @@
   options.engines = 2;
   options.script->rows = 20000;
   options.script->row_bytes = 100;
-  options.script->runs_for = std::chrono::milliseconds(40);
+  options.script->run_time = std::chrono::milliseconds(40);
   options.conf =
       "spool {\n"
       "  listen 127.0.0.1:0\n"
@@ -34,19 +34,19 @@
             << site.server->reader_endpoint() << ", two stand-in engines\n";
   const std::string report = "00000000000000b2";
   const auto client = site.client();
-  site.script->rows_of = [&](const std::string& id) -> std::size_t { return id == report ? 20000 : 3; };
+  site.script->rows_for = [&](const std::string& id) -> std::size_t { return id == report ? 20000 : 3; };
   const std::string small = "00000000000000c3";
   client->call("execute", 2, request(small, "lookup"), "select name from pupils_3.list");
-  const auto served = site.reply(*client);
+  const auto served = site.wait_for_reply(*client);
   std::cout << "lookup over the platform's service, three rows: "
             << (served && served->field == 0 ? "served" : "failed") << "\n"
             << (served ? served->body : "");
   const auto start = steady_clock::now();
   auto reader = site.reader();
   reader->call("submit", 1, request(report), "select * from lessons_3.hours");
-  const auto opened = site.reply(*reader);
+  const auto opened = site.wait_for_reply(*reader);
   if (!opened || opened->field != 0) return std::cout << "the report was not served\n", 1;
-  site.until([&] { return site.open_sessions() == 0; });
+  site.run_until([&] { return site.open_sessions() == 0; });
   std::cout << "report of " << opened->at("rows") << " rows, " << opened->at("bytes")
             << " bytes: complete after " << static_cast<int>(ms_since(start))
             << " ms, no engine's session is open any more\n";
@@ -62,12 +62,12 @@
       std::cout << "the reader's connection breaks at row " << row << "; it comes back and resumes\n";
       reader = site.reader();
       reader->call("resume", call++, {{"txn", report}, {"team", "acme"}});
-      const auto again = site.reply(*reader);
+      const auto again = site.wait_for_reply(*reader);
       if (!again || again->field != 0) return std::cout << "not resumed\n", 1;
     }
     reader->call("fetch", call++,
                  {{"handle", handle}, {"team", "acme"}, {"row", std::to_string(row)}, {"window", "65536"}});
-    const auto part = site.reply(*reader);
+    const auto part = site.wait_for_reply(*reader);
     if (!part || part->field != 0)
       return std::cout << "not fetched: " << (part ? part->at("code") : "closed") << "\n", 1;
     all += part->body;
@@ -75,11 +75,11 @@
     last = part->at("last") == "1";
   }
   reader->call("acknowledge", call++, {{"handle", handle}, {"team", "acme"}, {"rows", std::to_string(row)}});
-  site.reply(*reader);
-  const bool same = all == whole(*site.script, report, 1);
+  site.wait_for_reply(*reader);
+  const bool same = all == full_result(*site.script, report, 1);
   std::cout << "all " << row << " rows are here, "
             << (same ? "byte-identical" : "NOT as the engine made them") << ", the report ran "
-            << site.runs(report)
+            << site.run_count(report)
             << " time(s), bytes left in the spool: " << site.server->spool()->bytes_held() << "\n";
   return same && site.server->spool()->bytes_held() == 0 ? 0 : 1;
 }
@@ -89,7 +89,7 @@
   Engine engine(io, std::make_shared<Script>(script), std::make_shared<std::map<std::string, int>>());
   std::cout << "engine at " << engine.address() << std::endl;
   io.run_for(std::chrono::seconds(seconds));
-  std::cout << engine.spans().size() << " sessions, " << engine.open_sessions() << " open at the end\n";
+  std::cout << engine.sessions().size() << " sessions, " << engine.open_sessions() << " open at the end\n";
   return 0;
 }
 
@@ -120,12 +120,12 @@
   const auto wait = [&] {
     for (std::uint64_t told = 0;;) {
       // So many bytes a second, in steps of 10 ms.
-      if (auto reply = reader.take(std::max<std::size_t>(1, pace / 100))) return reply;
+      if (auto reply = reader.next_reply(std::max<std::size_t>(1, pace / 100))) return reply;
       if (reader.ended()) return std::optional<Reply>();
       std::this_thread::sleep_for(std::chrono::milliseconds(10));
-      if (reader.received() / 100000 > told) {
-        told = reader.received() / 100000;
-        std::cout << "  " << reader.received() << " bytes after " << static_cast<int>(ms_since(start))
+      if (reader.bytes_received() / 100000 > told) {
+        told = reader.bytes_received() / 100000;
+        std::cout << "  " << reader.bytes_received() << " bytes after " << static_cast<int>(ms_since(start))
                   << " ms\n";
       }
     }
@@ -192,7 +192,7 @@
   CLI11_PARSE(app, argc, argv);
   try {
     if (*demonstration) return demo();
-    script.runs_for = std::chrono::milliseconds(runs_ms);
+    script.run_time = std::chrono::milliseconds(runs_ms);
     if (*sim) {
       options.durable = !memory;
       return simulate_seeds(options, seeds);
--- a/standins/site.cpp
+++ b/standins/site.cpp
@@ -9,16 +9,16 @@
 
 using nlohmann::json;
 
-Folder::Folder() {
+TempDir::TempDir() {
   std::string name = (std::filesystem::temp_directory_path() / "steprail-XXXXXX").string();
-  if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no folder for temporary files");
+  if (::mkdtemp(name.data()) == nullptr) throw std::runtime_error("no temporary directory could be created");
   path_ = name;
 }
-Folder::~Folder() {
+TempDir::~TempDir() {
   std::error_code ignored;
   std::filesystem::remove_all(path_, ignored);
 }
-void Folder::write(const std::string& name, const std::string& text) const {
+void TempDir::write(const std::string& name, const std::string& text) const {
   std::ofstream(path(name), std::ios::trunc) << text;
 }
 
@@ -29,19 +29,19 @@
       has_conf_(!options.conf.empty()),
       substitutes_(options.substitutes),
       ledger_(options.ledger) {
-  json rows = json::array();
+  json engine_rows = json::array();
   for (std::size_t i = 0; i < options.engines; ++i) {
     engines.push_back(std::make_unique<Engine>(io, script, run_counts));
-    rows.push_back({{"name", "engine" + std::to_string(i)},
-                    {"address", engines.back()->address()},
-                    {"zone", "here"},
-                    {"type", "box"},
-                    {"group", 0},
-                    {"status", "active"},
-                    {"weight", 1.0},
-                    {"since_ms", 0}});
+    engine_rows.push_back({{"name", "engine" + std::to_string(i)},
+                           {"address", engines.back()->address()},
+                           {"zone", "here"},
+                           {"type", "box"},
+                           {"group", 0},
+                           {"status", "active"},
+                           {"weight", 1.0},
+                           {"since_ms", 0}});
   }
-  const auto cls = [&](const char* name, const char* effect) {
+  const auto class_settings = [&](const char* name, const char* effect) {
     return json{{"name", name},
                 {"effect", effect},
                 {"objective_us", 1000000},
@@ -57,7 +57,7 @@
        {{"index", 1},
         {"updates",
          {{{"index", 1},
-           {"endpoints", {{"index", 1}, {"snapshot", true}, {"endpoints", std::move(rows)}}}}}}}},
+           {"endpoints", {{"index", 1}, {"snapshot", true}, {"endpoints", std::move(engine_rows)}}}}}}}},
       {"settings",
        {{"balancers", 1},
         {"rank", 0},
@@ -76,10 +76,12 @@
           {"conn_idle_us", 15000000},
           {"connect_timeout_us", 250000}}},
         {"rules", {{"answer_slack_us", 20000}, {"drain_grace_us", 1000000}}},
-        {"profiles", {cls("lookup", "repeatable"), cls("report", "repeatable"), cls("load", "once")}}}}};
-  if (options.change) options.change(config);
-  folder.write("config.json", config.dump());
-  if (has_conf_) set_conf(options.conf);
+        {"profiles",
+         {class_settings("lookup", "repeatable"), class_settings("report", "repeatable"),
+          class_settings("load", "once")}}}}};
+  if (options.edit_config) options.edit_config(config);
+  temp_dir.write("config.json", config.dump());
+  if (has_conf_) write_conf(options.conf);
   start();
 }
 
@@ -87,16 +89,16 @@
 
 void Site::start() {
   server.reset();
-  server = std::make_unique<Server>(read_config(folder.path("config.json")),
-                                    has_conf_ ? read_operator(folder.path("steprail.conf")) : OperatorConf{},
-                                    substitutes_ ? substitutes_() : spool::Substitutes{},
-                                    ledger_ ? ledger_() : nullptr);
+  server = std::make_unique<Server>(
+      read_config(temp_dir.path("config.json")),
+      has_conf_ ? read_operator(temp_dir.path("steprail.conf")) : OperatorConf{},
+      substitutes_ ? substitutes_() : spool::Substitutes{}, ledger_ ? ledger_() : nullptr);
   server->start();
 }
 
-bool Site::until(const std::function<bool()>& happened, std::chrono::seconds most) {
-  const auto end = std::chrono::steady_clock::now() + most;
-  while (!happened()) {
+bool Site::run_until(const std::function<bool()>& condition, std::chrono::seconds timeout) {
+  const auto end = std::chrono::steady_clock::now() + timeout;
+  while (!condition()) {
     if (std::chrono::steady_clock::now() > end) return false;
     run_for(std::chrono::milliseconds(1));
   }
@@ -109,19 +111,19 @@
     std::size_t done = io.poll();
     if (server && !server->io().stopped()) done += server->io().poll();
     if (io.stopped()) io.restart();
-    // Nothing was ready: waits for the first thing that will be, though not long.
+    // Nothing was ready: wait shortly for the next event, but not longer, as io has to be polled too.
     if (done == 0 && server && !server->io().stopped())
       server->io().run_one_for(std::chrono::microseconds(200));
   } while (std::chrono::steady_clock::now() < end);
 }
 
-std::optional<Reply> Site::reply(Client& from) {
+std::optional<Reply> Site::wait_for_reply(Client& from) {
   std::optional<Reply> reply;
-  until([&] { return (reply = from.take()).has_value() || from.ended(); });
+  run_until([&] { return (reply = from.next_reply()).has_value() || from.ended(); });
   return reply;
 }
 
-int Site::runs(const std::string& id) const {
+int Site::run_count(const std::string& id) const {
   const auto at = run_counts->find(id);
   return at == run_counts->end() ? 0 : at->second;
 }
@@ -132,10 +134,10 @@
   return sum;
 }
 
-Engine* Site::engine_of(const std::string& id) {
+Engine* Site::engine_running(const std::string& id) {
   for (const auto& engine : engines) {
-    for (const Span& span : engine->spans()) {
-      if (span.id == id) return engine.get();
+    for (const Session& session : engine->sessions()) {
+      if (session.id == id) return engine.get();
     }
   }
   return nullptr;
--- a/standins/site.h
+++ b/standins/site.h
@@ -1,5 +1,6 @@
-// A whole small site on loopback: a directory that says nothing new, stand-in engines, and a coordinator's
-// configuration that names them. The coordinator may run in the same thread, or on its own.
+// A small site on loopback for integration tests: a directory that sends no updates, scripted engines, and
+// the configuration of a coordinator that uses them. The coordinator runs in the same thread or in its own
+// process.
 #pragma once
 
 #include <filesystem>
@@ -15,13 +16,13 @@
 
 namespace steprail::standin {
 
-// A folder of its own under the system's for temporary files, gone with it.
-class Folder {
+// A temporary directory, removed by the destructor.
+class TempDir {
  public:
-  Folder();
-  ~Folder();
-  Folder(const Folder&) = delete;
-  Folder& operator=(const Folder&) = delete;
+  TempDir();
+  ~TempDir();
+  TempDir(const TempDir&) = delete;
+  TempDir& operator=(const TempDir&) = delete;
   std::string path(const std::string& name = {}) const { return name.empty() ? path_ : path_ + '/' + name; }
   void write(const std::string& name, const std::string& text) const;
 
@@ -34,32 +35,33 @@
   struct Options {
     std::size_t engines{1};
     std::shared_ptr<Script> script{std::make_shared<Script>()};
-    std::string conf;  // the operator's file; empty: none
-    std::function<void(nlohmann::json&)> change;
+    std::string conf;  // text of the operator's file; empty: no file
+    std::function<void(nlohmann::json&)> edit_config;
     std::chrono::milliseconds hard_limit{20000};
-    std::function<spool::Substitutes()> substitutes;  // at each start
+    std::function<spool::Substitutes()> substitutes;  // called at each start
     std::function<std::unique_ptr<spool::Index>()> ledger;
   };
   explicit Site(Options options);
   ~Site();
 
-  // Starts (or starts anew) the coordinator, with what the files say now.
+  // Starts or restarts the coordinator with the present content of its files.
   void start();
-  // As kill -9 would: nothing of the coordinator is told.
+  // Ends the coordinator without any shutdown, as kill -9 would.
   void kill() { server.reset(); }
-  void set_conf(const std::string& text) const { folder.write("steprail.conf", text); }
+  void write_conf(const std::string& text) const { temp_dir.write("steprail.conf", text); }
 
-  // Lets both sides run until it has happened; false where that takes too long.
-  bool until(const std::function<bool()>& happened, std::chrono::seconds most = std::chrono::seconds(30));
+  // Runs both event loops until the condition holds; false if it does not within the timeout.
+  bool run_until(const std::function<bool()>& condition,
+                 std::chrono::seconds timeout = std::chrono::seconds(30));
   void run_for(std::chrono::microseconds time);
   std::unique_ptr<Client> client() { return std::make_unique<Client>(io, server->endpoint()); }
   std::unique_ptr<Client> reader() { return std::make_unique<Client>(io, server->reader_endpoint()); }
-  std::optional<Reply> reply(Client& from);
-  int runs(const std::string& id) const;
+  std::optional<Reply> wait_for_reply(Client& from);
+  int run_count(const std::string& id) const;
   std::size_t open_sessions() const;
-  Engine* engine_of(const std::string& id);
+  Engine* engine_running(const std::string& id);
 
-  Folder folder;
+  TempDir temp_dir;
   boost::asio::io_context io;
   tcp::acceptor directory;
   std::shared_ptr<Script> script;
@@ -74,7 +76,7 @@
   std::function<std::unique_ptr<spool::Index>()> ledger_;
 };
 
-// The fields of a request as the site's classes and tenants go.
+// The fields of a request, with defaults that fit the site's classes and tenants.
 Fields request(const std::string& id, const std::string& verb = "report", const std::string& team = "acme",
                int limit_ms = 9000);
 
--- a/tests/edge/story_test.cpp
+++ b/tests/edge/story_test.cpp
@@ -63,12 +63,12 @@
     Tablet tablet(site, "tablet", by);
     tablet.client.connect();
     const auto key = tablet.client.ask("report", "select * from lessons_3.hours", 20000);
-    REQUIRE(site.until([&] { return tablet.device.idle(); }));
+    REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
     CHECK(tablet.at(key).outcome.how == How::kServed);
     CHECK(tablet.at(key).finals == 1);
-    CHECK(tablet.at(key).rows == whole(*site.script, last_id(site), 1));
+    CHECK(tablet.at(key).rows == full_result(*site.script, last_id(site), 1));
     // Let go by the last acknowledgement, long before its time is over.
-    REQUIRE(site.until([&] { return site.server->spool()->bytes_held() == 0; }, std::chrono::seconds(8)));
+    REQUIRE(site.run_until([&] { return site.server->spool()->bytes_held() == 0; }, std::chrono::seconds(8)));
     CHECK(site.server->edge()->logic().memory().used() == 0);
     CHECK(site.server->broken_invariants() == 0);
   }
@@ -78,7 +78,7 @@
     "edge: cut at every byte of a load's request and of its answer, it runs once and is answered once") {
   Site::Options o = options("  connections 1000\n");
   o.engines = 4;
-  o.change = [](nlohmann::json& config) { config["limits"]["sockets"] = 4096; };
+  o.edit_config = [](nlohmann::json& config) { config["limits"]["sockets"] = 4096; };
   Site site(o);
   site.script->rows = 4;
   for (const By by : {By::kWebSocketJson, By::kPoll}) {
@@ -90,7 +90,7 @@
       tablet.client.set_target(proxy.endpoint());
       tablet.client.connect();
       tablet.client.ask("load", "insert into lessons_3.hours", 9000);
-      REQUIRE(site.until([&] { return tablet.device.idle(); }));
+      REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
       up = proxy.bytes_up(), down = proxy.bytes_down();
     }
     REQUIRE(up > 300);
@@ -122,7 +122,7 @@
         tablets.back()->client.connect();
         tablets.back()->client.ask("load", "insert into lessons_3.hours", 9000);
       }
-      REQUIRE(site.until([&] {
+      REQUIRE(site.run_until([&] {
         return std::all_of(tablets.begin(), tablets.end(), [](const auto& t) { return t->device.idle(); });
       }));
       CHECK(total_runs(site) == before + static_cast<int>(to - from));
@@ -146,10 +146,11 @@
     Tablet tablet(site, "tablet" + std::to_string(i), By::kPoll);
     tablet.client.connect();
     tablet.client.ask("report", "select 1 from a_1.t", 9000);
-    REQUIRE(site.until([&] { return tablet.device.idle(); }, std::chrono::seconds(3)));
+    REQUIRE(site.run_until([&] { return tablet.device.idle(); }, std::chrono::seconds(3)));
     // One that comes back leaves a link of its own behind.
     if (i % 3 == 0) tablet.client.drop();
-    if (i % 3 == 0) REQUIRE(site.until([&] { return tablet.device.resumes > 0; }, std::chrono::seconds(3)));
+    if (i % 3 == 0)
+      REQUIRE(site.run_until([&] { return tablet.device.resumes > 0; }, std::chrono::seconds(3)));
   }
   CHECK(site.server->edge()->logic().counts().answers == 60);
 }
@@ -157,17 +158,19 @@
 TEST_CASE(
     "edge: a stall longer than the give-up time ends the request once, and the device hears of it later") {
   Site::Options o = options("  heartbeat-least 200ms\n  heartbeat-most 1s\n");
-  o.script->fault = [](const Moment& m) { return m.at == Moment::At::kAck ? Fault::kSilent : Fault::kNone; };
+  o.script->fault = [](const FaultPoint& m) {
+    return m.stage == FaultPoint::Stage::kAck ? Fault::kSilent : Fault::kNone;
+  };
   Site site(o);
   Proxy proxy(site.io, site.server->edge_endpoint(), [](std::size_t) { return LinkScript{}; });
   Tablet tablet(site, "tablet");
   tablet.client.set_target(proxy.endpoint());
   tablet.client.set_patience(milliseconds(1500));
   tablet.client.connect();
-  REQUIRE(site.until([&] { return tablet.device.welcomed(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.welcomed(); }));
   proxy.hole_after(1);
   const auto key = tablet.client.ask("load", "insert into lessons_3.hours", 600);
-  REQUIRE(site.until([&] { return tablet.device.idle(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(key).finals == 1);
   CHECK(tablet.at(key).outcome.how == How::kFailed);
   CHECK_FALSE(tablet.at(key).outcome.again);
@@ -180,7 +183,7 @@
     "edge: a link that swallows everything is given up by the edge's own suspicion, and its rows' memory "
     "comes back") {
   Site::Options o = options("  heartbeat-least 100ms\n  heartbeat-most 300ms\n");
-  o.script->runs_for = milliseconds(200);
+  o.script->run_time = milliseconds(200);
   o.script->rows = 3000;
   Site site(o);
   Proxy proxy(site.io, site.server->edge_endpoint(), [](std::size_t) { return LinkScript{}; });
@@ -188,35 +191,35 @@
   tablet.client.set_target(proxy.endpoint());
   tablet.client.set_patience(std::chrono::minutes(10));
   tablet.client.connect();
-  REQUIRE(site.until([&] { return tablet.device.welcomed(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.welcomed(); }));
   proxy.hole_after(2000);  // some of the rows still pass
   const auto key = tablet.client.ask("report", "select * from lessons_3.hours", 15000);
-  REQUIRE(site.until([&] { return site.server->edge()->logic().memory().used() > 0; }));
-  REQUIRE(site.until([&] { return site.server->edge()->logic().counts().suspected == 1; }));
+  REQUIRE(site.run_until([&] { return site.server->edge()->logic().memory().used() > 0; }));
+  REQUIRE(site.run_until([&] { return site.server->edge()->logic().counts().suspected == 1; }));
   CHECK(site.server->edge()->logic().live() == 0);
   CHECK(site.server->edge()->logic().memory().used() == 0);
   CHECK_FALSE(tablet.device.idle());
   // It comes back by itself later, and goes on where the link broke off.
   tablet.client.drop();
-  REQUIRE(site.until([&] { return tablet.device.idle(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(key).finals == 1);
-  CHECK(tablet.at(key).rows == whole(*site.script, last_id(site), 1));
+  CHECK(tablet.at(key).rows == full_result(*site.script, last_id(site), 1));
   CHECK(tablet.device.sessions == 1);
   CHECK(total_runs(site) == 1);
 }
 
 TEST_CASE("edge: sent again by a second connection and by the other front, a load runs once") {
   Site::Options o = options();
-  o.script->runs_for = milliseconds(150);
+  o.script->run_time = milliseconds(150);
   Site site(o);
   // Two lives of one device that know nothing of each other, as after it has lost its memory: the same key.
   Tablet first(site, "tablet"), second(site, "tablet", By::kPoll);
   first.client.connect();
   const auto key = first.client.ask("load", "insert into lessons_3.hours", 9000);
-  REQUIRE(site.until([&] { return total_runs(site) == 1; }));
+  REQUIRE(site.run_until([&] { return total_runs(site) == 1; }));
   second.client.connect();
   REQUIRE(second.client.ask("load", "insert into lessons_3.hours", 9000) == key);
-  REQUIRE(site.until([&] { return second.device.idle(); }));
+  REQUIRE(site.run_until([&] { return second.device.idle(); }));
   CHECK(second.at(key).outcome.how == How::kServed);
   CHECK(second.at(key).finals == 1);
   CHECK(total_runs(site) == 1);
@@ -224,7 +227,7 @@
   Tablet third(site, "tablet");
   third.client.connect();
   third.client.ask("load", "delete from lessons_3.hours", 9000);
-  REQUIRE(site.until([&] { return third.device.idle(); }));
+  REQUIRE(site.run_until([&] { return third.device.idle(); }));
   CHECK(third.at(key).code == "other-statement");
   CHECK(total_runs(site) == 1);
 }
@@ -234,13 +237,13 @@
   Tablet tablet(site, "tablet");
   tablet.client.connect();
   tablet.client.ask("report", "select 1 from a_1.t", 9000);
-  REQUIRE(site.until([&] { return tablet.device.idle(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   for (const By by : {By::kPoll, By::kWebSocketCbor, By::kPoll, By::kWebSocketJson}) {
     tablet.client.use(by);
     const auto before = tablet.device.resumes;
     tablet.client.drop();
     tablet.client.ask("report", "select 1 from a_1.t", 9000);
-    REQUIRE(site.until([&] { return tablet.device.idle() && tablet.device.resumes > before; }));
+    REQUIRE(site.run_until([&] { return tablet.device.idle() && tablet.device.resumes > before; }));
   }
   CHECK(tablet.device.sessions == 1);
   for (const auto& [_, request] : tablet.device.requests()) CHECK(request.finals == 1);
@@ -249,22 +252,22 @@
 TEST_CASE("edge: killed between dispatch and answer, the load's outcome is unknown once and for good") {
   for (const bool durable : {true, false}) {
     Site::Options o = options();
-    o.script->fault = [](const Moment& m) {
-      return m.at == Moment::At::kAck && m.run == 1 ? Fault::kSilent : Fault::kNone;
+    o.script->fault = [](const FaultPoint& m) {
+      return m.stage == FaultPoint::Stage::kAck && m.run == 1 ? Fault::kSilent : Fault::kNone;
     };
     Site site(o);
     site.kill();
-    site.set_conf(o.conf.substr(0, o.conf.size() - 2) +
-                  (durable ? "  ledger " + site.folder.path("ledger") + " 4m\n}\n" : "}\n"));
+    site.write_conf(o.conf.substr(0, o.conf.size() - 2) +
+                    (durable ? "  ledger " + site.temp_dir.path("ledger") + " 4m\n}\n" : "}\n"));
     site.start();
     Tablet tablet(site, "tablet");
     tablet.client.connect();
     const auto key = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
-    REQUIRE(site.until([&] { return total_runs(site) == 1; }));
+    REQUIRE(site.run_until([&] { return total_runs(site) == 1; }));
     site.kill();
     site.start();
     tablet.client.set_target(site.server->edge_endpoint());
-    REQUIRE(site.until([&] { return tablet.device.idle(); }));
+    REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
     CHECK(tablet.at(key).outcome.how == How::kUnknown);
     CHECK(tablet.at(key).finals == 1);
     // Another life of the device asks again, after another restart: nothing else is ever said, and nothing
@@ -274,10 +277,10 @@
     Tablet again(site, "tablet");
     again.device.set_token(tablet.device.token());
     again.client.connect();
-    REQUIRE(site.until([&] { return again.device.welcomed(); }));
+    REQUIRE(site.run_until([&] { return again.device.welcomed(); }));
     if (durable) {
       again.client.ask("load", "insert into lessons_3.hours", 9000);
-      REQUIRE(site.until([&] { return again.device.idle(); }));
+      REQUIRE(site.run_until([&] { return again.device.idle(); }));
       CHECK(again.at(key).outcome.how == How::kUnknown);
     }
     CHECK(total_runs(site) == 1);
@@ -290,20 +293,20 @@
   Site::Options o = options();
   Site site(o);
   site.kill();
-  site.set_conf("spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n  disk " +
-                site.folder.path("disk") +
-                " 64m\n  disk-above 1k\n}\nedge {\n  listen 127.0.0.1:0\n  home one\n  ledger " +
-                site.folder.path("ledger") + " 4m\n}\n");
+  site.write_conf("spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n  disk " +
+                  site.temp_dir.path("disk") +
+                  " 64m\n  disk-above 1k\n}\nedge {\n  listen 127.0.0.1:0\n  home one\n  ledger " +
+                  site.temp_dir.path("ledger") + " 4m\n}\n");
   site.start();
   // The answer is lost on its way: the link swallows it.
   Proxy proxy(site.io, site.server->edge_endpoint(), [](std::size_t) { return LinkScript{}; });
   Tablet tablet(site, "tablet");
   tablet.client.set_target(proxy.endpoint());
   tablet.client.connect();
-  REQUIRE(site.until([&] { return tablet.device.welcomed(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.welcomed(); }));
   proxy.hole_after(1);
   const auto key = tablet.client.ask("load", "insert into lessons_3.hours", 15000);
-  REQUIRE(site.until([&] {
+  REQUIRE(site.run_until([&] {
     return site.server->edge()->logic().counts().answers == 1 &&
            site.server->spool()->logic().disk().used() > 0 && site.server->spool()->disk_idle();
   }));
@@ -312,10 +315,10 @@
   site.start();
   tablet.client.set_target(site.server->edge_endpoint());
   tablet.client.drop();
-  REQUIRE(site.until([&] { return tablet.device.idle(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(key).outcome.how == How::kServed);
   CHECK(tablet.at(key).finals == 1);
-  CHECK(tablet.at(key).rows == whole(*site.script, id, 1));
+  CHECK(tablet.at(key).rows == full_result(*site.script, id, 1));
   CHECK(total_runs(site) == 1);
 }
 
@@ -326,22 +329,22 @@
   Tablet tablet(site, "tablet");
   tablet.client.connect();
   const auto load = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
-  REQUIRE(site.until([&] { return tablet.device.idle(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(load).code == "not-recorded");
   CHECK(tablet.at(load).outcome.again);
   CHECK(total_runs(site) == 0);
   // There is room again; after a write that has failed outright there is none for good.
   const auto next = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
-  REQUIRE(site.until([&] { return tablet.device.idle(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(next).outcome.how == How::kServed);
   disk->fail_at(disk->operations() + 1, FaultyDisk::Fault::kEio);
   for (int i = 0; i < 2; ++i) {
     const auto other = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
-    REQUIRE(site.until([&] { return tablet.device.idle(); }));
+    REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
     CHECK(tablet.at(other).code == "not-recorded");
   }
   const auto lookup = tablet.client.ask("lookup", "select 1 from a_1.t", 9000);
-  REQUIRE(site.until([&] { return tablet.device.idle(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(lookup).outcome.how == How::kServed);
   CHECK(total_runs(site) == 2);
 }
@@ -353,7 +356,7 @@
   Tablet tablet(site, "tablet");
   tablet.client.connect();
   const auto key = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
-  REQUIRE(site.until([&] { return tablet.device.idle(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(key).outcome.how == How::kUnknown);
   CHECK(total_runs(site) == 1);
 }
@@ -361,25 +364,25 @@
 TEST_CASE(
     "edge: a session that lives elsewhere is shown the way, one whose home is gone runs no load again") {
   Site site(options());
-  const std::string secret = site.folder.path("secret");
-  site.folder.write("secret", std::string(40, 's'));
+  const std::string secret = site.temp_dir.path("secret");
+  site.temp_dir.write("secret", std::string(40, 's'));
   const auto start = [&](const std::string& home, const std::string& more) {
     site.kill();
-    site.set_conf("spool {\n  listen 127.0.0.1:0\n}\nedge {\n  listen 127.0.0.1:0\n  home " + home +
-                  "\n  secret " + secret + "\n" + more + "}\n");
+    site.write_conf("spool {\n  listen 127.0.0.1:0\n}\nedge {\n  listen 127.0.0.1:0\n  home " + home +
+                    "\n  secret " + secret + "\n" + more + "}\n");
     site.start();
   };
   start("two", "  other one 10.0.0.1:7071\n");
   Tablet tablet(site, "tablet");
   tablet.client.connect();
-  REQUIRE(site.until([&] { return tablet.device.welcomed(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.welcomed(); }));
   const std::string of_two = tablet.device.token();
   tablet.client.stop();
   start("one", "  other two 10.0.0.2:7071\n");
   Tablet lost(site, "tablet");
   lost.device.set_token(of_two);
   lost.client.connect();
-  REQUIRE(site.until([&] { return !lost.device.home.empty(); }));
+  REQUIRE(site.run_until([&] { return !lost.device.home.empty(); }));
   CHECK(lost.device.home == "10.0.0.2:7071");
   lost.client.stop();
   // The operator says that it is gone for good: the device begins anew, its loads of then are not run here.
@@ -389,39 +392,39 @@
   const auto sent_then = tablet.device.requests().rbegin()->first;
   tablet.device.set_first(sent_then, 12345);
   tablet.client.connect();
-  REQUIRE(site.until([&] { return tablet.device.idle(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(sent_then).outcome.how == How::kUnknown);
   CHECK(total_runs(site) == 0);
   // A token of another device, or one that was changed, opens nothing.
   Tablet thief(site, "other");
   thief.device.set_token(tablet.device.token());
   thief.client.connect();
-  REQUIRE(site.until([&] { return thief.device.last_error == "token"; }));
+  REQUIRE(site.run_until([&] { return thief.device.last_error == "token"; }));
 }
 
 TEST_CASE("edge: at SIGTERM devices are told, nothing new is taken, and all that was taken is answered") {
   Site::Options o = options();
-  o.script->runs_for = milliseconds(300);
+  o.script->run_time = milliseconds(300);
   Site site(o);
   Tablet tablet(site, "tablet");
   tablet.client.connect();
   const auto key = tablet.client.ask("report", "select 1 from a_1.t", 9000);
-  REQUIRE(site.until([&] { return total_runs(site) == 1; }));
+  REQUIRE(site.run_until([&] { return total_runs(site) == 1; }));
   site.server->stop();
-  REQUIRE(site.until([&] { return tablet.device.draining; }));
+  REQUIRE(site.run_until([&] { return tablet.device.draining; }));
   const auto late = tablet.client.ask("report", "select 1 from a_1.t", 9000);
-  REQUIRE(site.until([&] { return tablet.device.idle(); }));
+  REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(key).outcome.how == How::kServed);
   CHECK(tablet.at(key).have_rows == 300);
   CHECK(tablet.at(late).code == "draining");
-  REQUIRE(site.until([&] { return site.server->io().stopped(); }));
+  REQUIRE(site.run_until([&] { return site.server->io().stopped(); }));
 }
 
 TEST_CASE("edge: slow headers, long ones, bombs, deep nesting and nonsense end their own connection alone") {
   Site site(options());
   Tablet good(site, "good");
   good.client.connect();
-  REQUIRE(site.until([&] { return good.device.welcomed(); }));
+  REQUIRE(site.run_until([&] { return good.device.welcomed(); }));
   const auto raw = [&](const std::string& bytes) {
     tcp::socket socket(site.io);
     socket.connect(site.server->edge_endpoint());
@@ -429,7 +432,7 @@
     socket.non_blocking(true);
     std::string in;
     bool ended = false;
-    CHECK(site.until(
+    CHECK(site.run_until(
         [&] {
           char part[4096];
           boost::system::error_code error;
@@ -470,16 +473,16 @@
   }));
   bool shaken = false, refused = false;
   bomb.async_handshake("edge", "/edge/ws", [&](boost::system::error_code error) { shaken = !error; });
-  REQUIRE(site.until([&] { return shaken; }));
+  REQUIRE(site.run_until([&] { return shaken; }));
   const std::string blanks(20 << 20, ' ');
   bomb.async_write(boost::asio::buffer(blanks), [&](boost::system::error_code, std::size_t) {});
   boost::beast::flat_buffer buffer;
   bomb.async_read(buffer,
                   [&](boost::system::error_code error, std::size_t) { refused = static_cast<bool>(error); });
-  REQUIRE(site.until([&] { return refused; }));
+  REQUIRE(site.run_until([&] { return refused; }));
   // The others did not notice.
   good.client.ask("report", "select 1 from a_1.t", 9000);
-  REQUIRE(site.until([&] { return good.device.idle(); }));
+  REQUIRE(site.run_until([&] { return good.device.idle(); }));
   INFO("last error: " << good.device.last_error);
   CHECK(good.client.connects() == 1);
 }
@@ -506,7 +509,7 @@
                                  (load ? "insert into" : "select 1 from") + std::string(" a_1.t"), 15000);
     }
   }
-  REQUIRE(site.until(
+  REQUIRE(site.run_until(
       [&] {
         return std::all_of(tablets.begin(), tablets.end(), [](const auto& t) { return t->device.idle(); });
       },
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -230,12 +230,12 @@
   json change = spoilt();
   change.push_back(going);
   w.directory.peer(0)->write(event(2, change, false).dump() + "\n");
-  w.until([&] { return w.server->listed() == 2; });
+  w.until([&] { return w.server->last_list_event() == 2; });
   only(1);
   json whole = spoilt();
   whole.push_back(row(0, address(w.engines[0]->acceptor)));
   w.directory.peer(0)->write(event(3, whole, true).dump() + "\n3\n");
-  w.until([&] { return w.server->listed() == 3; });
+  w.until([&] { return w.server->last_list_event() == 3; });
   only(0);
   CHECK(w.directory.peer(1) == nullptr);
 }
@@ -249,7 +249,7 @@
     w.directory.peer(life)->write(bad + "2\n");
   }
   w.directory.peer(2)->write(event(3, {row(0, address(w.engines[0]->acceptor))}, false).dump() + "\n");
-  w.until([&] { return w.server->listed() == 3; });
+  w.until([&] { return w.server->last_list_event() == 3; });
   w.directory.peer(2)->close();
   w.until([&] { return w.directory.has(3, "follow 3\n"); });
 }
@@ -262,7 +262,7 @@
     World w(1, [&](json& from) { from["known"] = known; });
     w.until([&] { return w.directory.has(0, "follow 0\n"); });
     w.directory.peer(0)->write(event(1, {row(0, address(w.engines[0]->acceptor))}, true).dump() + "\n1\n");
-    w.until([&] { return w.server->listed() == 1; });
+    w.until([&] { return w.server->last_list_event() == 1; });
     const auto client = w.client();
     client->write(query(1, kId));
     w.until([&] { return w.engines[0]->has(0, "serve " + kId); });
@@ -525,7 +525,7 @@
   const int other = at == 0 ? 1 : 0;
   w.directory.peer(0)->write(event(2, {row(other, address(w.engines[1 - at]->acceptor))}, true).dump() +
                              "\n2\n");
-  w.until([&] { return w.server->listed() == 2; });
+  w.until([&] { return w.server->last_list_event() == 2; });
   w.engines[at]->peer(0)->write(ack(kId, "x\t\t\n"));
   CHECK(w.answer(*client).field == 0);
 }
@@ -816,9 +816,9 @@
     until([&] { return directory.has(0, follow); });
     directory.peer(0)->write(event(2, any_rows(*inRange(0, 60), zones, kinds), *inRange(0, 2) == 1).dump() +
                              "\n2\n");
-    until([&] { return server.listed() == 2; });
+    until([&] { return server.last_list_event() == 2; });
     directory.peer(0)->write(event(3, any_rows(*inRange(0, 5), zones, kinds), true).dump() + "\n3\n");
-    until([&] { return server.listed() == 3; });
+    until([&] { return server.last_list_event() == 3; });
     // Every request is answered within its time.
     until([&] { return client.read(), std::count(client.in.begin(), client.in.end(), '\x80') >= 6; });
     RC_ASSERT(server.broken_invariants() == 0u);
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -1,5 +1,5 @@
-// The real program as a process of its own: how it starts and ends, whatever the platform does to it
-// meanwhile.
+// Integration tests of the program as a process of its own: start, stop, signals, and limits of descriptors
+// and memory.
 #include <fcntl.h>
 #include <poll.h>
 #include <sys/resource.h>
@@ -16,7 +16,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-// An address of this process's own, with a port that is free.
+// A loopback address that only this process uses, with a free port.
 tcp::endpoint free_endpoint() {
   const auto pid = static_cast<std::uint32_t>(::getpid());
   const asio::ip::address_v4 host((127u << 24) | (77u << 16) | (pid & 0xffffu) | 1u);
@@ -24,7 +24,7 @@
   return tcp::acceptor(io, {host, 0}).local_endpoint();
 }
 
-std::string text_of(const tcp::endpoint& at) {
+std::string to_text(const tcp::endpoint& at) {
   return at.address().to_string() + ':' + std::to_string(at.port());
 }
 
@@ -36,9 +36,9 @@
     pid_ = ::fork();
     if (pid_ == 0) {
       ::dup2(ends[1], 2);
-      ::close_range(3, ~0u, 0);  // the listeners of this process are not its child's
-      const rlimit most{descriptors, descriptors};
-      if (descriptors > 0) ::setrlimit(RLIMIT_NOFILE, &most);
+      ::close_range(3, ~0u, 0);  // the child must not inherit this process's listeners
+      const rlimit descriptor_limit{descriptors, descriptors};
+      if (descriptors > 0) ::setrlimit(RLIMIT_NOFILE, &descriptor_limit);
       ::execl(STEPRAIL, STEPRAIL, "serve", "--config", config.c_str(), nullptr);
       ::_exit(127);
     }
@@ -47,7 +47,7 @@
   }
   ~Process() {
     if (pid_ > 0) {
-      // The story ended before the process did: what it last said tells why.
+      // The test ended before the process did: the end of its log shows why.
       ::kill(pid_, SIGKILL), ::waitpid(pid_, nullptr, 0);
       for (char bytes[4096];;) {
         const auto count = ::read(log_, bytes, sizeof bytes);
@@ -62,19 +62,19 @@
   Process& operator=(const Process&) = delete;
 
   void signal(int number) const { REQUIRE(::kill(pid_, number) == 0); }
-  // True once the log holds the text; false where it ends without.
-  bool says(const std::string& text) {
+  // Returns true once the log contains the text, false if the log ends without it.
+  bool wait_for_log(const std::string& text) {
     while (log.find(text) == std::string::npos) {
       if (!read()) return false;
     }
     return true;
   }
-  // Takes what it has said so far.
-  void listen() {
-    pollfd look{log_, POLLIN, 0};
-    while (::poll(&look, 1, 0) == 1 && read()) continue;
+  // Reads what has been logged so far.
+  void read_available() {
+    pollfd poll_request{log_, POLLIN, 0};
+    while (::poll(&poll_request, 1, 0) == 1 && read()) continue;
   }
-  // Its exit code, or minus the signal that ended it.
+  // Returns the exit code, or the negated number of the signal that ended the process.
   int wait() {
     while (read()) continue;
     int status = 0;
@@ -86,8 +86,8 @@
 
  private:
   bool read() {
-    pollfd look{log_, POLLIN, 0};
-    REQUIRE(::poll(&look, 1, 30'000) == 1);  // ends a story that hangs
+    pollfd poll_request{log_, POLLIN, 0};
+    REQUIRE(::poll(&poll_request, 1, 30'000) == 1);  // fails a test that hangs
     char bytes[4096];
     const auto count = ::read(log_, bytes, sizeof bytes);
     if (count > 0) log.append(bytes, static_cast<std::size_t>(count));
@@ -98,14 +98,15 @@
   int log_{};
 };
 
-// A configuration's file that is handed out piece by piece: a pipe. Whoever opens it waits for the other.
-class Pipe {
+// A configuration file that the test writes while the program reads it: a named pipe, where each side's
+// open() waits for the other side's.
+class ConfigPipe {
  public:
-  Pipe() { REQUIRE(::mkfifo(path.c_str(), 0600) == 0); }
-  ~Pipe() { std::remove(path.c_str()); }
-  Pipe(const Pipe&) = delete;
-  Pipe& operator=(const Pipe&) = delete;
-  // Returns once the program is reading, and so in the midst of its start.
+  ConfigPipe() { REQUIRE(::mkfifo(path.c_str(), 0600) == 0); }
+  ~ConfigPipe() { std::remove(path.c_str()); }
+  ConfigPipe(const ConfigPipe&) = delete;
+  ConfigPipe& operator=(const ConfigPipe&) = delete;
+  // Returns once the program has opened the file, and so while it is starting.
   int open() const { return ::open(path.c_str(), O_WRONLY); }
   static void write(int end, const std::string& text) {
     CHECK(::write(end, text.data(), text.size()) == static_cast<ssize_t>(text.size()));
@@ -116,11 +117,11 @@
 
 json process_config(const tcp::endpoint& listen, const std::string& directory) {
   json from = config(directory, json::array());
-  from["listen"] = text_of(listen);
+  from["listen"] = to_text(listen);
   return from;
 }
 
-// A client's connection, as soon as the program listens.
+// Connects as a client, as soon as the program listens.
 std::unique_ptr<Peer> connect(asio::io_context& io, const tcp::endpoint& to) {
   const auto end = Clock::now() + kGiveUp;
   for (;;) {
@@ -133,9 +134,9 @@
   }
 }
 
-void until(const std::function<bool()>& happened) {
+void wait_until(const std::function<bool()>& condition) {
   const auto end = Clock::now() + kGiveUp;
-  while (!happened()) {
+  while (!condition()) {
     REQUIRE(Clock::now() < end);
     ::usleep(1000);
   }
@@ -143,66 +144,68 @@
 
 }  // namespace
 
-// Guards against a process that a signal ends by its default action while it still reads its configuration.
-TEST_CASE("process: SIGTERM during the start, and again, ends it with 0") {
-  Pipe file;
+// Guards against a signal that ends the process by its default action while it still reads its configuration.
+TEST_CASE("process: SIGTERM during the start, even twice, ends it with exit code 0") {
+  ConfigPipe file;
   Process process(file.path);
   const int end = file.open();
   process.signal(SIGTERM);
   process.signal(SIGTERM);
-  Pipe::write(end, process_config(free_endpoint(), "127.0.0.1:9").dump());
+  ConfigPipe::write(end, process_config(free_endpoint(), "127.0.0.1:9").dump());
   CHECK(process.wait() == 0);
   CHECK(process.log.find("stopping, 0 requests open") != std::string::npos);
 }
 
-// Guards against a new configuration that ends the process that was just started, or that it never hears of.
-TEST_CASE("process: SIGHUP during the start is neither its end nor lost") {
+// Guards against a SIGHUP for a new configuration that ends a starting process, or that it misses.
+TEST_CASE("process: SIGHUP during the start does not end it and is not lost") {
   asio::io_context io;
   Listener first(io), second(io);
   const auto listen = free_endpoint();
-  Pipe file;
+  ConfigPipe file;
   Process process(file.path);
   int end = file.open();
   process.signal(SIGHUP);
-  Pipe::write(end, process_config(listen, address(first.acceptor)).dump());
-  REQUIRE(process.says("serving as n0"));
-  end = file.open();  // it reads again
-  Pipe::write(end, process_config(listen, address(second.acceptor)).dump());
-  until([&] { return second.has(0, "follow 1\n"); });
+  ConfigPipe::write(end, process_config(listen, address(first.acceptor)).dump());
+  REQUIRE(process.wait_for_log("serving as n0"));
+  end = file.open();  // the program reads its configuration again
+  ConfigPipe::write(end, process_config(listen, address(second.acceptor)).dump());
+  wait_until([&] { return second.has(0, "follow 1\n"); });
   process.signal(SIGTERM);
   CHECK(process.wait() == 0);
 }
 
-// Guards against a start that fails because the process before it still answers what it has taken.
+// Guards against a start that fails because the previous process still answers its accepted requests.
 TEST_CASE("process: an address that another process still holds is waited for") {
   asio::io_context io;
   const auto listen = free_endpoint();
   auto before = std::make_unique<tcp::acceptor>(io, listen);
   ConfigFile file(process_config(listen, "127.0.0.1:9"));
   Process process(file.path());
-  REQUIRE(process.says("is held by another process, waiting"));
+  REQUIRE(process.wait_for_log("is held by another process, waiting"));
   before.reset();
   const auto client = connect(io, listen);
   client->write(kCheck);
-  until([&] { return client->read().size() > 4; });
+  wait_until([&] { return client->read().size() > 4; });
   process.signal(SIGTERM);
   CHECK(process.wait() == 0);
 }
 
-// Guards against a process that waits for its address and hears no signal meanwhile.
-TEST_CASE("process: SIGTERM while the address is held by another process ends it with 0") {
+// Guards against a process that ignores signals while it waits for its address.
+TEST_CASE("process: SIGTERM while the address is held by another process ends it with exit code 0") {
   asio::io_context io;
   const tcp::acceptor before(io, free_endpoint());
   ConfigFile file(process_config(before.local_endpoint(), "127.0.0.1:9"));
   Process process(file.path());
-  REQUIRE(process.says("is held by another process, waiting"));
+  REQUIRE(process.wait_for_log("is held by another process, waiting"));
   process.signal(SIGTERM);
   CHECK(process.wait() == 0);
 }
 
-// Guards against clients that wait for a restart and find a start that fails, or a line too short for them.
+// Guards against a restart that fails under its old address, or whose accept queue is too short for all the
+// clients that wait for it.
 TEST_CASE(
-    "process: killed with connections open, it starts again at once under its address, clients waiting") {
+    "process: killed with open connections, it restarts at once under its address and serves waiting "
+    "clients") {
   asio::io_context io;
   const auto listen = free_endpoint();
   ConfigFile file(process_config(listen, "127.0.0.1:9"));
@@ -210,20 +213,19 @@
   std::vector<std::unique_ptr<Peer>> clients;
   for (int i = 0; i < 200; ++i) clients.push_back(connect(io, listen));
   for (const auto& client : clients) client->write(kCheck);
-  for (const auto& client : clients) until([&] { return client->read().size() > 4; });
+  for (const auto& client : clients) wait_until([&] { return client->read().size() > 4; });
   process->signal(SIGKILL);
   CHECK(process->wait() == -SIGKILL);
   process = std::make_unique<Process>(file.path());
   clients.clear();
   for (int i = 0; i < 200; ++i) clients.push_back(connect(io, listen)), clients.back()->write(kCheck);
-  for (const auto& client : clients) until([&] { return client->read().size() > 4; });
+  for (const auto& client : clients) wait_until([&] { return client->read().size() > 4; });
   process->signal(SIGTERM);
   CHECK(process->wait() == 0);
 }
 
-// Guards against a configuration that cannot be used and a process that serves all the same, or ends without
-// a word.
-TEST_CASE("process: a bad configuration is one clear line and an exit that is not 0") {
+// Guards against a process that serves with an unusable configuration, or ends without an error message.
+TEST_CASE("process: a bad configuration gives a one-line error message and a non-zero exit code") {
   ConfigFile file(process_config(free_endpoint(), "127.0.0.1:9"));
   const std::string whole = process_config(free_endpoint(), "127.0.0.1:9").dump();
   json wrong = process_config(free_endpoint(), "127.0.0.1:9");
@@ -240,9 +242,10 @@
   CHECK(process.log == "steprail: configuration /nowhere/config.json cannot be opened\n");
 }
 
-#ifndef __SANITIZE_ADDRESS__  // whose own checks need descriptors
-// Guards against a loop, or an exception, where descriptors run out under the limit that was told.
-TEST_CASE("process: descriptors run out and come back") {
+#ifndef __SANITIZE_ADDRESS__  // the address sanitizer itself needs descriptors
+// Guards against a busy loop or an exception when descriptors run out, although fewer than the configured
+// limit are used.
+TEST_CASE("process: it recovers after running out of descriptors") {
   asio::io_context io;
   const auto listen = free_endpoint();
   Listener directory(io), engine(io);
@@ -252,38 +255,37 @@
   Process process(file.path(), 16);
   const auto first = connect(io, listen);
   first->write(kCheck);
-  until([&] { return first->read().size() > 4; });
+  wait_until([&] { return first->read().size() > 4; });
   std::vector<std::unique_ptr<Peer>> many;
   for (int i = 0; i < 30; ++i) many.push_back(connect(io, listen)), many.back()->write(kCheck);
-  REQUIRE(process.says("accept failed: Too many open files"));
-  // No connection to the engine can be made: that is told at once.
+  REQUIRE(process.wait_for_log("accept failed: Too many open files"));
+  // No connection to the engine can be made: the client is answered at once.
   first->in.clear();
   first->write(query(1, kId));
-  until([&] { return first->read().size() > 4; });
+  wait_until([&] { return first->read().size() > 4; });
   rusage before{}, after{};
   ::usleep(300'000);
   many.clear();
   const auto late = connect(io, listen);
   late->write(kCheck);
-  until([&] { return late->read().size() > 4; });
+  wait_until([&] { return late->read().size() > 4; });
   late->write(query(2, "00000000000000a2"));
-  until([&] { return engine.has(0, "serve 00000000000000a2"); });
+  wait_until([&] { return engine.has(0, "serve 00000000000000a2"); });
   engine.peer(0)->write(ack("00000000000000a2", "x\t\t\n"));
-  until([&] { return late->has("x\t\t\n"); });
+  wait_until([&] { return late->has("x\t\t\n"); });
   process.signal(SIGTERM);
   ::getrusage(RUSAGE_CHILDREN, &before);
   CHECK(process.wait() == 0);
   ::getrusage(RUSAGE_CHILDREN, &after);
-  CHECK(after.ru_utime.tv_sec - before.ru_utime.tv_sec <= 1);  // of all its life; it did not spin
+  CHECK(after.ru_utime.tv_sec - before.ru_utime.tv_sec <= 1);  // user time of its whole run: it did not spin
 }
 
 #endif
 
-// Guards against a directory that keeps a process from starting, serving or ending.
-TEST_CASE(
-    "process: a directory that is absent, silent or closes within an event keeps nothing from its work") {
+// Guards against a directory failure that keeps a process from starting, serving or ending.
+TEST_CASE("process: it serves with a directory that is absent, silent, or closes within an event") {
   asio::io_context io;
-  for (const int kind : {0, 1, 2}) {
+  for (const int kind : {0, 1, 2}) {  // 0: absent, 1: silent, 2: closes within an event
     const auto listen = free_endpoint();
     Listener directory(io), engine(io);
     json from = process_config(listen, address(directory.acceptor));
@@ -293,15 +295,15 @@
     Process process(file.path());
     const auto client = connect(io, listen);
     if (kind == 2) {
-      until([&] { return directory.has(0, "follow 1\n"); });
+      wait_until([&] { return directory.has(0, "follow 1\n"); });
       directory.peer(0)->write("{\"index\":2,\"endp");
       directory.peer(0)->close();
     }
     client->write(query(1, kId));
-    until([&] { return engine.has(0, "serve " + kId); });
+    wait_until([&] { return engine.has(0, "serve " + kId); });
     engine.peer(0)->write(ack(kId, "x\t\t\n"));
-    until([&] { return client->read().size() > 4; });
-    if (kind == 2) until([&] { return directory.has(1, "follow 1\n"); });
+    wait_until([&] { return client->read().size() > 4; });
+    if (kind == 2) wait_until([&] { return directory.has(1, "follow 1\n"); });
     process.signal(SIGTERM);
     CHECK(process.wait() == 0);
   }
@@ -309,11 +311,11 @@
 
 namespace {
 
-// One engine whose only client is the program. Attempts of one request are told apart by the connection and
-// the place of their command on it.
+// An engine whose only client is the program. It tells the attempts of a request apart by the connection and
+// the position of their command on it.
 struct WatchedEngine {
   explicit WatchedEngine(asio::io_context& io) : listener(io) {}
-  // How often the request has been sent here, on all connections together.
+  // Returns how often the request was sent to this engine, over all connections.
   std::size_t attempts(const std::string& id) {
     listener.poll();
     std::size_t count = 0;
@@ -334,12 +336,12 @@
   return from;
 }
 
-// Long enough for every wrong attempt to arrive; a right one has nothing to wait for.
-constexpr auto kWrongAttemptsArrive = std::chrono::milliseconds(300);
+// Long enough for every unwanted attempt to arrive; a correct program sends none, so nothing signals the end.
+constexpr auto kExtraAttemptWait = std::chrono::milliseconds(300);
 
-// Watches the engine until a further attempt would have arrived.
+// Checks the number of attempts until a further attempt would have arrived.
 void expect_attempts(WatchedEngine& engine, const std::string& id, std::size_t count) {
-  const auto end = Clock::now() + kWrongAttemptsArrive;
+  const auto end = Clock::now() + kExtraAttemptWait;
   while (Clock::now() < end) {
     REQUIRE(engine.attempts(id) == count);
     ::usleep(10'000);
@@ -348,8 +350,8 @@
 
 }  // namespace
 
-// Guards against the errors of several lost pages of one attempt ending the attempts that follow it.
-TEST_CASE("process: lost pages of one attempt do not put several attempts out at once") {
+// Guards against errors for several lost pages of one attempt that end the attempts after it.
+TEST_CASE("process: lost pages of one attempt do not start several attempts at once") {
   asio::io_context io;
   Listener directory(io);
   WatchedEngine engine(io);
@@ -358,25 +360,26 @@
   Process process(file.path());
   const auto client = connect(io, listen);
   client->write(query(1, kId));
-  until([&] { return engine.attempts(kId) == 1; });
+  wait_until([&] { return engine.attempts(kId) == 1; });
   Peer& first = *engine.listener.peer(0);
   first.write(ack(kId, "a\t\t\n", 4));
-  until([&] { return first.has("read " + kId + " 3\r\n"); });
-  // One answer for each page that was asked for, and time for the next attempt behind the first.
+  wait_until([&] { return first.has("read " + kId + " 3\r\n"); });
+  // One error for each requested page; the next attempt starts after the first error, before the others.
   const std::string lost = kId + " EIO - 0\r\n\r\n";
   first.write(lost);
-  until([&] { return engine.attempts(kId) == 2; });
+  wait_until([&] { return engine.attempts(kId) == 2; });
   first.write(lost + lost);
   expect_attempts(engine, kId, 2);
   for (const auto& peer : engine.listener.peers) peer->write(ack(kId, "b\t\t\n"));
-  until([&] { return client->read().size() > 4; });
+  wait_until([&] { return client->read().size() > 4; });
   CHECK(client->in.find("b\t\t\n") != std::string::npos);
   process.signal(SIGTERM);
   CHECK(process.wait() == 0);
 }
 
-// Guards against a second copy of "full" that counts for the next attempt: a load would run twice.
-TEST_CASE("process: a second copy of a refusal does not put a load out twice") {
+// Guards against a duplicate "full" reply that is taken for the reply to the next attempt: a load would run
+// twice.
+TEST_CASE("process: a duplicate refusal does not start a load twice") {
   asio::io_context io;
   Listener directory(io);
   WatchedEngine engine(io);
@@ -385,14 +388,14 @@
   Process process(file.path());
   const auto client = connect(io, listen);
   client->write(query(1, kId, "load"));
-  until([&] { return engine.attempts(kId) == 1; });
+  wait_until([&] { return engine.attempts(kId) == 1; });
   const std::string full = kId + " AGAIN - 0\r\n\r\n";
   engine.listener.peer(0)->write(full);
-  until([&] { return engine.attempts(kId) >= 2; });
+  wait_until([&] { return engine.attempts(kId) >= 2; });
   engine.listener.peer(0)->write(full);
   expect_attempts(engine, kId, 2);
   for (const auto& peer : engine.listener.peers) peer->write(ack(kId, "b\t\t\n"));
-  until([&] { return client->read().size() > 4; });
+  wait_until([&] { return client->read().size() > 4; });
   CHECK(client->in.find("b\t\t\n") != std::string::npos);
   process.signal(SIGTERM);
   CHECK(process.wait() == 0);
@@ -400,7 +403,7 @@
 
 namespace {
 
-// Engines by the thousand behind one listener: every address of the loopback range leads to it.
+// A thousand engines behind one listener, which accepts connections to any loopback address.
 class ManyEngines {
  public:
   explicit ManyEngines(asio::io_context& io) : acceptor_(io, {asio::ip::address_v4::any(), 0}) {
@@ -408,9 +411,9 @@
   }
   std::string at(int number) const {
     const asio::ip::address_v4 host((127u << 24) | (80u << 16) | static_cast<std::uint32_t>(number + 1));
-    return text_of({host, acceptor_.local_endpoint().port()});
+    return to_text({host, acceptor_.local_endpoint().port()});
   }
-  // Answers all that has come.
+  // Accepts all connections and answers all commands that have arrived.
   void poll() {
     for (;;) {
       error_code error;
@@ -449,12 +452,12 @@
   std::vector<std::unique_ptr<Peer>> peers_;
 };
 
-constexpr int kMany = 1024;
+constexpr int kEngineCount = 1024;
 constexpr std::size_t kMemoryMb = 56, kSockets = 512;
 
 json many_rows(const ManyEngines& engines, int from) {
   json rows = json::array();
-  for (int i = 0; i < kMany; ++i) {
+  for (int i = 0; i < kEngineCount; ++i) {
     json one = row(from + i, engines.at(i));
     one["zone"] = "zone" + std::to_string(i % 16);
     one["type"] = "kind" + std::to_string(i % 12);
@@ -468,7 +471,7 @@
   from["known"]["updates"] = {event(1, rows, true)};
   from["limits"] = {{"cores", 1.0}, {"memory_mb", kMemoryMb}, {"sockets", kSockets}};
   json& settings = from["settings"];
-  settings["balancers"] = kMany, settings["rank"] = kMany - 1;
+  settings["balancers"] = kEngineCount, settings["rank"] = kEngineCount - 1;
   settings["localities"] = settings["host_types"] = json::array();
   for (int i = 0; i < 16; ++i) settings["localities"].push_back("zone" + std::to_string(i));
   for (int i = 0; i < 12; ++i) settings["host_types"].push_back("kind" + std::to_string(i));
@@ -484,7 +487,7 @@
   return from;
 }
 
-[[maybe_unused]] long figure(pid_t pid, const std::string& name) {
+[[maybe_unused]] long proc_status_value(pid_t pid, const std::string& name) {
   std::ifstream status("/proc/" + std::to_string(pid) + "/status");
   for (std::string line; std::getline(status, line);)
     if (line.starts_with(name + ':')) return std::stol(line.substr(name.size() + 1));
@@ -493,10 +496,10 @@
 
 }  // namespace
 
-// Guards against a cap on engines or coordinators, and against memory, descriptors or time that follow their
-// product.
+// Guards against a limit on the number of engines or coordinators, and against memory, descriptors or time
+// that grow with their product.
 TEST_CASE(
-    "process: a thousand coordinators before a thousand engines, six in ten replaced, a move and the end") {
+    "process: a thousand coordinators and engines, 60 % of the engines replaced, the directory moved, stop") {
   asio::io_context io;
   Listener first(io), second(io);
   ManyEngines engines(io);
@@ -506,8 +509,8 @@
   Process process(file.path());
   const auto client = connect(io, listen);
   int call = 0, answered = 0, good = 0;
-  const auto take = [&] {
-    process.listen(), engines.poll();
+  const auto poll_all = [&] {
+    process.read_available(), engines.poll();
     for (client->read(); client->in.size() >= 4;) {
       const auto length = static_cast<std::size_t>(thrift::frame_length(client->in));
       if (client->in.size() < 4 + length) break;
@@ -519,19 +522,20 @@
       ++answered, reader.u8(), good += reader.i16() == 0;
     }
   };
-  const auto ask = [&](int count) {
+  const auto run_queries = [&](int count) {
     for (int i = 0; i < count; ++i) {
       char id[17];
       std::snprintf(id, sizeof id, "%016x", ++call);
       client->write(query(call, id, call % 16 == 0 ? "load" : "lookup"));
-      until([&] { return take(), answered + 16 > call; });
+      wait_until([&] { return poll_all(), answered + 16 > call; });
     }
-    until([&] { return take(), answered == call; });
+    wait_until([&] { return poll_all(), answered == call; });
   };
-  // A directory that has been silent for long is asked on a new connection.
-  const auto tell = [&](Listener& directory, const std::string& follow, const std::string& text) {
-    until([&] {
-      take(), directory.poll();
+  // The program reconnects to a directory that was silent for long, so the update goes to its open
+  // connection.
+  const auto send_update = [&](Listener& directory, const std::string& follow, const std::string& text) {
+    wait_until([&] {
+      poll_all(), directory.poll();
       for (const auto& peer : directory.peers) {
         if (!peer->has(follow) || peer->ended()) continue;
         peer->write(text);
@@ -540,31 +544,31 @@
       return false;
     });
   };
-  ask(200);
+  run_queries(200);
   CHECK(good >= call * 9 / 10);
-  tell(first, "follow 1\n", event(2, many_rows(engines, 0), true).dump() + "\n2\n");
-  ask(50);
-  // New ones under the addresses of those that go.
+  send_update(first, "follow 1\n", event(2, many_rows(engines, 0), true).dump() + "\n2\n");
+  run_queries(50);
+  // New engines under the addresses of those that leave.
   json change = json::array();
   const json one = many_rows(engines, 0)[0];
-  for (int i = 0; i < kMany; ++i) {
+  for (int i = 0; i < kEngineCount; ++i) {
     if (i % 10 >= 6) continue;
     json gone = one;
     gone["name"] = "engine" + std::to_string(i), gone["status"] = "left", gone["address"] = engines.at(i);
     json fresh = gone;
-    fresh["name"] = "engine" + std::to_string(kMany + i), fresh["status"] = "active";
+    fresh["name"] = "engine" + std::to_string(kEngineCount + i), fresh["status"] = "active";
     change.push_back(gone), change.push_back(fresh);
   }
-  tell(first, "follow 2\n", event(3, change, false).dump() + "\n3\n");
-  ask(200);
+  send_update(first, "follow 2\n", event(3, change, false).dump() + "\n3\n");
+  run_queries(200);
   CHECK(good >= call * 9 / 10);
   from["coordinator"] = address(second.acceptor);
   file.write(from.dump());
   process.signal(SIGHUP);
-  tell(second, "follow 3\n", "3\n");
-  ask(20);
+  send_update(second, "follow 3\n", "3\n");
+  run_queries(20);
 #ifdef NDEBUG
-  CHECK(figure(process.pid(), "VmHWM") < static_cast<long>(kMemoryMb << 10) / 2);
+  CHECK(proc_status_value(process.pid(), "VmHWM") < static_cast<long>(kMemoryMb << 10) / 2);
 #endif
   process.signal(SIGTERM);
   CHECK(process.wait() == 0);
--- a/tests/routes/story_test.cpp
+++ b/tests/routes/story_test.cpp
@@ -22,7 +22,7 @@
 Reply execute(Site& site, Client& client, const std::string& id, const std::string& verb = "report",
               int limit = 9000) {
   client.call("execute", 1, request(id, verb, "acme", limit), "select 1 from a_7.t");
-  const auto reply = site.reply(client);
+  const auto reply = site.wait_for_reply(client);
   REQUIRE(reply);
   return *reply;
 }
@@ -36,15 +36,15 @@
     "limit") {
   Site site(options(
       "route r {\n  class report\n  attempts 2\n  patience 300ms\n  patience 600ms\n  pause 100ms\n}\n"));
-  site.script->fault = [](const Moment& m) {
-    return m.at == Moment::At::kAck ? Fault::kSilent : Fault::kNone;
+  site.script->fault = [](const FaultPoint& m) {
+    return m.stage == FaultPoint::Stage::kAck ? Fault::kSilent : Fault::kNone;
   };
   const auto client = site.client();
   const auto start = std::chrono::steady_clock::now();
   const Reply reply = execute(site, *client, kId);
   const auto took = std::chrono::steady_clock::now() - start;
   CHECK(reply.field != 0);
-  CHECK(site.runs(kId) == 2);
+  CHECK(site.run_count(kId) == 2);
   // 300 + 100 + 600, and no sooner; the limit of 9 s is far.
   CHECK(took >= milliseconds(1000));
   CHECK(took < milliseconds(5000));
@@ -54,14 +54,14 @@
 
 TEST_CASE("routes: what finds no place is refused at once, and the place comes back with the answer") {
   Site site(options("route r {\n  class report\n  limit 1 1\n}\n"));
-  site.script->runs_for = milliseconds(300);
+  site.script->run_time = milliseconds(300);
   const auto first = site.client(), second = site.client();
   first->call("execute", 1, request(kId), "select 1 from a_7.t");
-  REQUIRE(site.until([&] { return site.runs(kId) == 1; }));
+  REQUIRE(site.run_until([&] { return site.run_count(kId) == 1; }));
   const Reply turned = execute(site, *second, "00000000000000a2");
   CHECK(turned.field == 1);  // refused
-  CHECK(site.runs("00000000000000a2") == 0);
-  REQUIRE(site.reply(*first)->field == 0);
+  CHECK(site.run_count("00000000000000a2") == 0);
+  REQUIRE(site.wait_for_reply(*first)->field == 0);
   CHECK(execute(site, *second, "00000000000000a3").field == 0);
   // Other classes do not pass by that route.
   CHECK(execute(site, *second, "00000000000000a4", "lookup").field == 0);
@@ -75,7 +75,7 @@
   for (int i = 0; i < 6; ++i) {
     const std::string id = "00000000000000b" + std::to_string(i);
     CHECK(execute(site, *client, id).field == 0);
-    CHECK(site.engine_of(id) == site.engines[1].get());
+    CHECK(site.engine_running(id) == site.engines[1].get());
   }
   CHECK(execute(site, *client, "00000000000000c1", "lookup").field == 1);
 }
@@ -98,7 +98,7 @@
   for (const std::string& next :
        {bad, std::string("route r {\n  class report\n  attempts 3"), std::string("route {\n}\n"),
         std::string("route a {\n}\nroute b {\n}\n"), std::string("route r {\n  class raport\n}\n")}) {
-    site.set_conf(next);
+    site.write_conf(next);
     site.server->reload();
     REQUIRE(site.server->routes()->logic().set().routes.size() == 1);
     CHECK(site.server->routes()->logic().set().routes[0].terms.patience.front() == std::chrono::seconds(1));
@@ -111,7 +111,7 @@
       "  patience 2s\n  limit 4 40\n}\nroute heavy {\n  class report\n  tenant acme\n  work 500 9000\n}\n"
       "route l {\n  class lookup\n}\n"));
   const auto told = [&](commands::ExplainOptions asked) {
-    asked.config = site.folder.path("config.json"), asked.conf = site.folder.path("steprail.conf");
+    asked.config = site.temp_dir.path("config.json"), asked.conf = site.temp_dir.path("steprail.conf");
     std::ostringstream out;
     commands::explain(asked, out);
     return out.str();
@@ -133,46 +133,46 @@
 
 TEST_CASE("routes: a plan for stated traffic is a file that a coordinator starts with") {
   Site site(options("log {\n  level info\n}\n"));
-  site.folder.write(
+  site.temp_dir.write(
       "traffic",
       "engines {\n  cores 32\n}\ntraffic reports {\n  class report\n  rate 60\n  time 900ms spread 80%\n"
       "  lost 5%\n}\ntraffic loads {\n  class load\n  rate 2\n  time 1500ms\n}\n");
   const auto made = [&](const std::string& conf) {
     std::ostringstream out;
-    commands::plan(site.folder.path("config.json"), conf, site.folder.path("traffic"), out);
+    commands::plan(site.temp_dir.path("config.json"), conf, site.temp_dir.path("traffic"), out);
     return out.str();
   };
   const std::string file = made("");
   INFO(file);
   site.kill();
-  site.set_conf(file);
+  site.write_conf(file);
   site.start();
   REQUIRE(site.server->routes() != nullptr);
   CHECK(site.server->routes()->logic().set().routes.size() == 2);
   const auto client = site.client();
   CHECK(execute(site, *client, kId).field == 0);
   // Beside a file that has its own route for reports it does not pass, and says so.
-  site.set_conf("route mine {\n  class report\n}\n");
-  CHECK_THROWS_WITH(made(site.folder.path("steprail.conf")), Catch::Contains("mine"));
-  site.folder.write("traffic", "traffic t {\n  class report\n  rate 1\n  time 5ms\n}\n");
+  site.write_conf("route mine {\n  class report\n}\n");
+  CHECK_THROWS_WITH(made(site.temp_dir.path("steprail.conf")), Catch::Contains("mine"));
+  site.temp_dir.write("traffic", "traffic t {\n  class report\n  rate 1\n  time 5ms\n}\n");
   CHECK_THROWS_WITH(made(""), Catch::Contains("engines"));
 }
 
 TEST_CASE(
     "routes: open requests keep their figures over a reload that takes their route away, twice in a row") {
   Site site(options("route r {\n  class report\n  attempts 3\n  patience 300ms\n  pause 200ms\n}\n"));
-  site.script->fault = [](const Moment& m) {
-    return m.at == Moment::At::kAck ? Fault::kSilent : Fault::kNone;
+  site.script->fault = [](const FaultPoint& m) {
+    return m.stage == FaultPoint::Stage::kAck ? Fault::kSilent : Fault::kNone;
   };
   const auto client = site.client();
   client->call("execute", 1, request(kId), "select 1 from a_7.t");
-  REQUIRE(site.until([&] { return site.runs(kId) == 1; }));
-  site.set_conf("route other {\n  class lookup\n}\n");
+  REQUIRE(site.run_until([&] { return site.run_count(kId) == 1; }));
+  site.write_conf("route other {\n  class lookup\n}\n");
   site.server->reload();
-  site.set_conf("route r {\n  class report\n  attempts 1\n}\n");
+  site.write_conf("route r {\n  class report\n  attempts 1\n}\n");
   site.server->reload();
-  const auto reply = site.reply(*client);
+  const auto reply = site.wait_for_reply(*client);
   REQUIRE(reply);
-  CHECK(site.runs(kId) == 3);
+  CHECK(site.run_count(kId) == 3);
   CHECK(site.server->routes()->logic().open() == 0);
 }
--- a/tests/spool/store_test.cpp
+++ b/tests/spool/store_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace steprail::spool;
 using steprail::standin::FaultyDisk;
-using steprail::standin::Folder;
+using steprail::standin::TempDir;
 using Fault = FaultyDisk::Fault;
 
 constexpr std::int64_t kNow = 1'000'000, kLater = 1'000'000'000;
@@ -264,7 +264,7 @@
 }
 
 TEST_CASE("store: files of a folder and LMDB's index hold what the stand-in disk holds") {
-  const Folder folder;
+  const TempDir folder;
   const std::string at = folder.path("spool");
   {
     const auto files = posix_files(at);
--- a/tests/spool/story_test.cpp
+++ b/tests/spool/story_test.cpp
@@ -16,7 +16,7 @@
 
 using namespace steprail;
 using namespace steprail::standin;
-using At = Moment::At;
+using At = FaultPoint::Stage;
 using std::chrono::milliseconds;
 
 const std::string kId = "00000000000000a1";
@@ -37,14 +37,14 @@
 Reply submit(Site& site, Client& reader, const std::string& id, const std::string& verb = "report",
              const std::string& team = "acme", int limit = 9000) {
   reader.call("submit", 1, request(id, verb, team, limit), "select * from lessons_3.hours");
-  const auto reply = site.reply(reader);
+  const auto reply = site.wait_for_reply(reader);
   REQUIRE(reply);
   return *reply;
 }
 
 Reply ask(Site& site, Client& reader, const std::string& method, const Fields& fields) {
   reader.call(method, 7, fields);
-  const auto reply = site.reply(reader);
+  const auto reply = site.wait_for_reply(reader);
   REQUIRE(reply);
   return *reply;
 }
@@ -81,8 +81,8 @@
   Site site(long_reports());
   const auto reader = site.reader();
   reader->call("submit", 1, request(kId), "select * from lessons_3.hours");
-  REQUIRE(site.until([&] { return site.runs(kId) == 1 && site.open_sessions() == 0; }));
-  const auto opened = site.reply(*reader);
+  REQUIRE(site.run_until([&] { return site.run_count(kId) == 1 && site.open_sessions() == 0; }));
+  const auto opened = site.wait_for_reply(*reader);
   REQUIRE(opened->field == 0);
   CHECK(opened->at("rows") == "3000");
   CHECK(opened->at("columns") == "3");
@@ -90,8 +90,8 @@
   CHECK(opened->at("handle").size() == 32);
   const std::uint64_t got = std::stoull(opened->at("got"));
   CHECK(got == 60);
-  CHECK(opened->body + rest(site, *reader, opened->at("handle"), got) == whole(*site.script, kId, 1));
-  CHECK(site.runs(kId) == 1);
+  CHECK(opened->body + rest(site, *reader, opened->at("handle"), got) == full_result(*site.script, kId, 1));
+  CHECK(site.run_count(kId) == 1);
   CHECK(site.server->broken_invariants() == 0);
 }
 
@@ -100,7 +100,7 @@
   Site site(long_reports());
   const auto reader = site.reader();
   const Reply opened = submit(site, *reader, kId);
-  const std::string all = whole(*site.script, kId, 1);
+  const std::string all = full_result(*site.script, kId, 1);
   std::vector<std::size_t> starts{0};
   for (std::size_t at = 0; at < all.size(); ++at) {
     if (all[at] == '\n') starts.push_back(at + 1);
@@ -127,8 +127,8 @@
 TEST_CASE("spool: an engine dies with half of the pages spooled") {
   for (const std::string verb : {"report", "load"}) {
     Site::Options options = long_reports(2);
-    options.script->fault = [](const Moment& m) {
-      return m.at == At::kPage && m.run == 1 && m.page == 25 ? Fault::kDie : Fault::kNone;
+    options.script->fault = [](const FaultPoint& m) {
+      return m.stage == At::kPage && m.run == 1 && m.page == 25 ? Fault::kCrash : Fault::kNone;
     };
     Site site(options);
     const auto reader = site.reader();
@@ -138,12 +138,12 @@
       CHECK(opened.at("code") == "failed");
       CHECK(opened.at("again") == "0");
       site.run_for(milliseconds(50));
-      CHECK(site.runs(kId) == 1);
+      CHECK(site.run_count(kId) == 1);
     } else {
       REQUIRE(opened.field == 0);
-      CHECK(site.runs(kId) == 2);
+      CHECK(site.run_count(kId) == 2);
       const std::uint64_t got = std::stoull(opened.at("got"));
-      CHECK(opened.body + rest(site, *reader, opened.at("handle"), got) == whole(*site.script, kId, 2));
+      CHECK(opened.body + rest(site, *reader, opened.at("handle"), got) == full_result(*site.script, kId, 2));
       ask(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "acme"}});
     }
     CHECK(held(site) == 0);
@@ -167,8 +167,8 @@
   CHECK(again.at("handle") == handle);
   CHECK(again.body == opened.body);
   all += rest(site, *reader, handle, 180);
-  CHECK(all == whole(*site.script, kId, 1));
-  CHECK(site.runs(kId) == 1);
+  CHECK(all == full_result(*site.script, kId, 1));
+  CHECK(site.run_count(kId) == 1);
   CHECK(metric(site, "steprail_spool_served_total") == 1);
   // Up to the last row and no farther; then it is gone, and the reason is told.
   Fields ack{{"handle", handle}, {"team", "acme"}, {"rows", "3001"}};
@@ -187,11 +187,11 @@
 
 TEST_CASE("spool: a reader that drops while its query runs finds the answer, by another connection") {
   Site::Options options = long_reports();
-  options.script->runs_for = milliseconds(150);
+  options.script->run_time = milliseconds(150);
   Site site(options);
   auto reader = site.reader();
   reader->call("submit", 1, request(kId), "select * from lessons_3.hours");
-  REQUIRE(site.until([&] { return site.runs(kId) == 1; }));
+  REQUIRE(site.run_until([&] { return site.run_count(kId) == 1; }));
   reader->reset();
   // One that waits is told when another takes its place.
   const auto second = site.reader();
@@ -199,14 +199,14 @@
   site.run_for(milliseconds(20));
   const auto third = site.reader();
   third->call("resume", 4, {{"txn", kId}, {"team", "acme"}});
-  const auto displaced = site.reply(*second);
+  const auto displaced = site.wait_for_reply(*second);
   CHECK(displaced->call == 3);
   CHECK(displaced->at("code") == "other-reader");
-  const auto opened = site.reply(*third);
+  const auto opened = site.wait_for_reply(*third);
   REQUIRE(opened->field == 0);
   CHECK(opened->call == 4);
-  CHECK(opened->body + rest(site, *third, opened->at("handle"), 60) == whole(*site.script, kId, 1));
-  CHECK(site.runs(kId) == 1);
+  CHECK(opened->body + rest(site, *third, opened->at("handle"), 60) == full_result(*site.script, kId, 1));
+  CHECK(site.run_count(kId) == 1);
 }
 
 TEST_CASE("spool: a reader that comes too late, or never, leaves nothing behind") {
@@ -231,21 +231,21 @@
   reader = site.reader();
   CHECK(ask(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}}).at("code") == "lease-ended");
   CHECK(ask(site, *reader, "resume", {{"txn", other}, {"team", "acme"}}).at("code") == "too-late");
-  CHECK(site.runs(kId) == 1);
+  CHECK(site.run_count(kId) == 1);
   CHECK(site.server->spool()->logic().size() == 0);
 }
 
 TEST_CASE("spool: interrupt while pages come in frees the engine and the bytes") {
   Site::Options options = long_reports();
-  options.script->fault = [](const Moment& m) {
-    return m.at == At::kPage && m.page == 30 ? Fault::kSilent : Fault::kNone;
+  options.script->fault = [](const FaultPoint& m) {
+    return m.stage == At::kPage && m.page == 30 ? Fault::kSilent : Fault::kNone;
   };
   Site site(options);
   const auto reader = site.reader();
   reader->call("submit", 5, request(kId), "select * from lessons_3.hours");
-  REQUIRE(site.until([&] { return held(site) > 0 && site.engines[0]->heard("read") >= 30; }));
+  REQUIRE(site.run_until([&] { return held(site) > 0 && site.engines[0]->commands_received("read") >= 30; }));
   reader->write(encode_interrupt(5));
-  REQUIRE(site.until([&] { return site.open_sessions() == 0; }));
+  REQUIRE(site.run_until([&] { return site.open_sessions() == 0; }));
   CHECK(held(site) == 0);
   CHECK(ask(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}}).at("code") == "interrupted");
 }
@@ -303,14 +303,14 @@
   CHECK(full.at("again") == "1");  // a report may run again
   id.back() = '7';
   CHECK(submit(site, *reader, id, "load").at("again") == "0");
-  CHECK(site.runs(id) == 1);
+  CHECK(site.run_count(id) == 1);
   // Within the platform's bound it is answered whole, as without a spool.
   site.script->rows = 400;
   id.back() = '8';
   Reply whole_answer = submit(site, *reader, id);
   REQUIRE(whole_answer.field == 0);
   CHECK(whole_answer.at("handle").empty());
-  CHECK(whole_answer.body == whole(*site.script, id, 1));
+  CHECK(whole_answer.body == full_result(*site.script, id, 1));
   CHECK(ask(site, *reader, "resume", {{"txn", id}, {"team", "acme"}}).at("code") == "answered");
   site.script->rows = 2700;
   id.back() = '9';
@@ -325,7 +325,7 @@
 
 TEST_CASE("spool: one tenant's stalled readers leave the other its share") {
   Site::Options options = long_reports();
-  options.change = [](nlohmann::json& config) { config["limits"]["sockets"] = 4096; };
+  options.edit_config = [](nlohmann::json& config) { config["limits"]["sockets"] = 4096; };
   options.conf =
       "spool {\n  listen 127.0.0.1:0\n  memory 4m reserved 60%\n  result-most 512k\n  sessions 500\n"
       "  unread-most 64k\n}\n";
@@ -338,7 +338,7 @@
     id[14] = static_cast<char>('0' + i / 10), id[15] = static_cast<char>('0' + i % 10);
     stalled.back()->call("submit", 1, request(id), "select * from lessons_3.hours");
     // Asks for much, and reads none of it.
-    const auto opened = site.reply(*stalled.back());
+    const auto opened = site.wait_for_reply(*stalled.back());
     if (opened->field != 0) {
       ++full;
       continue;
@@ -356,7 +356,7 @@
     REQUIRE(opened.field == 0);
     REQUIRE_FALSE(opened.at("handle").empty());
     CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60, "20000", "umbra") ==
-          whole(*site.script, id, 1));
+          full_result(*site.script, id, 1));
     ask(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "umbra"}});
   }
   CHECK(held(site) <= 4u << 20);
@@ -369,7 +369,7 @@
   REQUIRE(::setrlimit(RLIMIT_NOFILE, &limit) == 0);
   constexpr int kReaders = 2000, kAtATime = 10;
   Site::Options options = long_reports(2);
-  options.change = [](nlohmann::json& config) { config["limits"]["sockets"] = 8192; };
+  options.edit_config = [](nlohmann::json& config) { config["limits"]["sockets"] = 8192; };
   options.script->rows = 1000;  // 100 KB: too long for a direct answer
   constexpr std::uint64_t kBudget = 32u << 20;
   options.conf =
@@ -389,7 +389,7 @@
     }
     for (int i = from; i < from + kAtATime; ++i) {
       Client& reader = *stalled[static_cast<std::size_t>(i)];
-      const auto opened = site.reply(reader);
+      const auto opened = site.wait_for_reply(reader);
       REQUIRE(opened);
       // Asks for all of it over and over, and reads none.
       if (opened->field == 0) {
@@ -405,7 +405,7 @@
   CHECK(stalled.size() == kReaders);
   CHECK(kept > 200);
   CHECK(most <= kBudget);
-  REQUIRE(site.until([&] { return site.open_sessions() == 0; }));
+  REQUIRE(site.run_until([&] { return site.open_sessions() == 0; }));
   // Both kinds of query still have their answers: the other tenant's from its reserve, the direct ones from
   // none.
   const auto reader = site.reader();
@@ -413,10 +413,10 @@
   const Reply opened = submit(site, *reader, id, "report", "umbra");
   REQUIRE(opened.field == 0);
   CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60, "20000", "umbra") ==
-        whole(*site.script, id, 1));
+        full_result(*site.script, id, 1));
   ask(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "umbra"}});
   for (const auto& client : stalled) client->reset();
-  REQUIRE(site.until([&] { return held(site) == 0; }, std::chrono::seconds(60)));
+  REQUIRE(site.run_until([&] { return held(site) == 0; }, std::chrono::seconds(60)));
   CHECK(site.server->spool()->logic().size() == 0);
   CHECK(site.server->broken_invariants() == 0);
 }
@@ -426,13 +426,13 @@
   const auto reader = site.reader();
   const Reply opened = submit(site, *reader, kId);
   REQUIRE(opened.field == 0);
-  site.set_conf("spool {\n  listen 127.0.0.1:0\n  memory 1m\n  result-most 256k\n  window-most 16k\n}\n");
+  site.write_conf("spool {\n  listen 127.0.0.1:0\n  memory 1m\n  result-most 256k\n  window-most 16k\n}\n");
   site.server->reload();
   CHECK(site.server->spool()->settings().logic.memory.most == 1u << 20);
-  CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60) == whole(*site.script, kId, 1));
+  CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60) == full_result(*site.script, kId, 1));
   for (const char* bad : {"spool {\n  memory 8m\n", "", "spool {\n  listen 127.0.0.1:1\n  memory 2m\n}\n",
                           "spool {\n  listen 127.0.0.1:0\n  memory 8g\n  result-most 8m\n}\n"}) {
-    site.set_conf(bad);
+    site.write_conf(bad);
     site.server->reload();
     CHECK(site.server->spool()->settings().logic.memory.most == 1u << 20);
   }
@@ -450,7 +450,7 @@
     site = std::make_unique<Site>(options);
   }
   bool stored() {
-    return site->until([&] {
+    return site->run_until([&] {
       const auto view = site->server->spool()->logic().view(0xa1);
       return !view || (!view->storing && site->server->spool()->disk_idle());
     });
@@ -469,12 +469,13 @@
   REQUIRE(w.stored());
   CHECK(w.site->server->spool()->logic().view(0xa1)->on_disk);
   CHECK(held(*w.site) == 0);
-  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) == whole(*w.site->script, kId, 1));
+  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) ==
+        full_result(*w.site->script, kId, 1));
   CHECK(held(*w.site) == 0);
   CHECK(ask(*w.site, *reader, "acknowledge",
             {{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}})
             .field == 0);
-  REQUIRE(w.site->until([&] { return w.site->server->spool()->disk_idle(); }));
+  REQUIRE(w.site->run_until([&] { return w.site->server->spool()->disk_idle(); }));
   CHECK(w.site->server->spool()->logic().disk().used() == 0);
   CHECK(w.disk->entries().empty());
 }
@@ -492,8 +493,8 @@
   const Reply again = ask(*w.site, *reader, "resume", {{"txn", kId}, {"team", "acme"}});
   REQUIRE(again.field == 0);
   CHECK(again.at("handle") == opened.at("handle"));
-  CHECK(opened.body + rest(*w.site, *reader, again.at("handle"), 60) == whole(*w.site->script, kId, 1));
-  CHECK(w.site->runs(kId) == 1);
+  CHECK(opened.body + rest(*w.site, *reader, again.at("handle"), 60) == full_result(*w.site->script, kId, 1));
+  CHECK(w.site->run_count(kId) == 1);
   CHECK(metric(*w.site, "steprail_spool_recovered_total") == 1);
 }
 
@@ -503,14 +504,15 @@
   auto reader = w.site->reader();
   const Reply opened = submit(*w.site, *reader, kId);
   REQUIRE(w.stored());
-  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) == whole(*w.site->script, kId, 1));
+  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) ==
+        full_result(*w.site->script, kId, 1));
   w.site->kill();
   w.disk = w.disk->after_kill();
   w.site->start();
   reader = w.site->reader();
   const Fields ack{{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}};
   CHECK(ask(*w.site, *reader, "acknowledge", ack).field == 0);
-  REQUIRE(w.site->until([&] { return w.site->server->spool()->disk_idle(); }));
+  REQUIRE(w.site->run_until([&] { return w.site->server->spool()->disk_idle(); }));
   CHECK(w.site->server->spool()->logic().size() == 0);
   CHECK(w.disk->entries().empty());
 }
@@ -549,8 +551,9 @@
   w.disk->fail_at(2 + 5 + 1, FaultyDisk::Fault::kEio);
   const auto reader = w.site->reader();
   const Reply opened = submit(*w.site, *reader, kId);
-  REQUIRE(w.site->until([&] { return !w.site->server->spool()->logic().disk_open(); }));
-  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) == whole(*w.site->script, kId, 1));
+  REQUIRE(w.site->run_until([&] { return !w.site->server->spool()->logic().disk_open(); }));
+  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) ==
+        full_result(*w.site->script, kId, 1));
   CHECK(held(*w.site) == 300'000);
   const std::size_t operations = w.disk->operations();
   std::string other = kId;
@@ -586,7 +589,8 @@
   CHECK(busy.field == 1);
   CHECK(busy.at("code") == "busy");
   w.disk->take_descriptors(false);
-  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) == whole(*w.site->script, kId, 1));
+  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) ==
+        full_result(*w.site->script, kId, 1));
 }
 
 TEST_CASE("spool: connections beyond their number wait or take the place of one that is idle") {
@@ -596,7 +600,7 @@
   for (int i = 0; i < 12; ++i) {
     idle.push_back(site.reader());
     idle.back()->write(encode_check(1));
-    REQUIRE(site.reply(*idle.back()));
+    REQUIRE(site.wait_for_reply(*idle.back()));
   }
   const auto reader = site.reader();
   CHECK(submit(site, *reader, kId).field == 0);
@@ -619,12 +623,12 @@
   std::string late = kId;
   late.back() = '3';
   CHECK(submit(site, *reader, late).at("code") == "refused");
-  CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60) == whole(*site.script, kId, 1));
+  CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60) == full_result(*site.script, kId, 1));
   CHECK(
       ask(site, *reader, "acknowledge", {{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}})
           .field == 0);
   CHECK_FALSE(site.server->io().stopped());
-  REQUIRE(site.until([&] { return site.server->io().stopped(); }));
+  REQUIRE(site.run_until([&] { return site.server->io().stopped(); }));
   const auto took = std::chrono::steady_clock::now() - start;
   CHECK(took > milliseconds(1900));
   CHECK(held(site) == 0);
@@ -638,7 +642,7 @@
   explicit Process(const Site& site) {
     int ends[2];
     REQUIRE(::pipe(ends) == 0);
-    const std::string config = site.folder.path("config.json"), conf = site.folder.path("steprail.conf");
+    const std::string config = site.temp_dir.path("config.json"), conf = site.temp_dir.path("steprail.conf");
     pid_ = ::fork();
     if (pid_ == 0) {
       ::dup2(ends[1], 2);
@@ -690,18 +694,18 @@
     Site::Options options = long_reports();
     Site site(options);
     site.kill();  // its engines, files and directory stay; the coordinator is a process of its own
-    site.set_conf("spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n  disk " +
-                  site.folder.path("disk") + " 64m\n" + (signal == SIGKILL ? "  disk-above 1k\n" : "") +
-                  "}\n");
+    site.write_conf("spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n  disk " +
+                    site.temp_dir.path("disk") + " 64m\n" + (signal == SIGKILL ? "  disk-above 1k\n" : "") +
+                    "}\n");
     auto process = std::make_unique<Process>(site);
     auto reader = std::make_unique<Client>(site.io, process->endpoint);
     const Reply opened = submit(site, *reader, kId, "report", "acme", 15000);
     REQUIRE(opened.field == 0);
     if (signal == SIGKILL) {
       // On disk once a fetch has been answered from there, which the log does not tell: the folder does.
-      REQUIRE(site.until([&] {
+      REQUIRE(site.run_until([&] {
         std::uintmax_t bytes = 0;
-        for (const auto& entry : std::filesystem::directory_iterator(site.folder.path("disk")))
+        for (const auto& entry : std::filesystem::directory_iterator(site.temp_dir.path("disk")))
           if (entry.path().filename() != "index") bytes += entry.file_size();
         return bytes > 300'000;
       }));
@@ -709,9 +713,9 @@
       std::string behind = kId;
       behind.back() = '2';
       REQUIRE(submit(site, *reader, behind, "report", "acme", 15000).field == 0);
-      REQUIRE(site.until([&] {
+      REQUIRE(site.run_until([&] {
         std::uintmax_t bytes = 0;
-        for (const auto& entry : std::filesystem::directory_iterator(site.folder.path("disk")))
+        for (const auto& entry : std::filesystem::directory_iterator(site.temp_dir.path("disk")))
           if (entry.path().filename() != "index") bytes += entry.file_size();
         return bytes > 600'000;
       }));
@@ -722,8 +726,8 @@
     reader = std::make_unique<Client>(site.io, process->endpoint);
     const Reply again = ask(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}});
     REQUIRE(again.field == 0);
-    CHECK(again.body + rest(site, *reader, again.at("handle"), 60) == whole(*site.script, kId, 1));
-    CHECK(site.runs(kId) == 1);
+    CHECK(again.body + rest(site, *reader, again.at("handle"), 60) == full_result(*site.script, kId, 1));
+    CHECK(site.run_count(kId) == 1);
   }
 }
 
@@ -738,7 +742,7 @@
     const auto client = site.client();
     client->write(encode_call("execute", 1, request(kId), "select 1 from a_7.t") + encode_check(2) +
                   encode_call("execute", 3, {{"txn", "x"}}, "select 1"));
-    REQUIRE(site.until([&] {
+    REQUIRE(site.run_until([&] {
       char part[65536];
       boost::system::error_code error;
       const std::size_t count = client->socket().read_some(boost::asio::buffer(part), error);
@@ -746,21 +750,21 @@
       return bytes[on].size() >= 30'148;
     }));
     site.run_for(milliseconds(20));
-    CHECK_FALSE(client->take());
+    CHECK_FALSE(client->next_reply());
   }
   CHECK(bytes[0] == bytes[1]);
 }
 
 TEST_CASE("spool: metrics are written to their file at SIGUSR1") {
   Site::Options options = long_reports();
-  const Folder folder;
+  const TempDir folder;
   options.conf += "metrics {\n  file " + folder.path("m.prom") + "\n}\n";
   Site site(options);
   const auto reader = site.reader();
   REQUIRE(submit(site, *reader, kId).field == 0);
   ::raise(SIGUSR1);
   std::string text;
-  REQUIRE(site.until([&] {
+  REQUIRE(site.run_until([&] {
     std::ifstream file(folder.path("m.prom"));
     text.assign(std::istreambuf_iterator<char>(file), {});
     return !text.empty();
