--- a/src/net/directory.cpp
+++ b/src/net/directory.cpp
@@ -224,7 +224,7 @@
       Row& stored = rows_[read.entry.engine];
       const EngineChange& previous = stored.change;
       if (previous.name != read.change.name || previous.address != read.change.address ||
-          previous.standing != read.change.standing || previous.came_up != read.change.came_up)
+          previous.standing != read.change.standing || previous.started_at != read.change.started_at)
         log_.line("engine " + std::to_string(read.entry.engine) + " is " + read.change.name + " at " +
                   read.change.address + ", " + row.at("status").get<std::string>());
       stored = read;
@@ -242,7 +242,7 @@
   for (const auto& [name, engine] : tables_.engines.known()) {
     if (!full || listed.contains(engine)) continue;
     const EngineChange& previous = rows_[engine].change;
-    changes.push_back({engine, name, previous.address, Standing::kGone, previous.came_up});
+    changes.push_back({engine, name, previous.address, Standing::kGone, previous.started_at});
   }
   for (const EngineChange& change : changes) {
     if (change.standing == Standing::kGone) {
@@ -253,10 +253,10 @@
     }
   }
   last_index_ = index;
-  coordinator_.listed(first  ? ListMode::kSaved
-                      : full ? ListMode::kFull
-                             : ListMode::kIncremental,
-                      std::move(entries), std::move(changes));
+  coordinator_.list_changed(first  ? ListMode::kSaved
+                            : full ? ListMode::kFull
+                                   : ListMode::kIncremental,
+                            std::move(entries), std::move(changes));
 }
 
 }  // namespace steprail
--- a/src/net/engine_pool.cpp
+++ b/src/net/engine_pool.cpp
@@ -106,9 +106,9 @@
     pending.attempt = dispatch.attempt;
     pending.tag = ++last_tag_;
     pending.sent_at = pool_.coordinator_.now();
-    pending.deadline = dispatch.query.taken + dispatch.query.limit;
+    pending.deadline = dispatch.query.received_at + dispatch.query.time_limit;
     pending.sink = dispatch.query.sink;
-    pending.max_bytes = pending.sink != nullptr ? dispatch.query.result_most : kMaxResultBytes;
+    pending.max_bytes = pending.sink != nullptr ? dispatch.query.max_result_bytes : kMaxResultBytes;
     pending.exclusive = pool_.runs_at_most_once(dispatch.query);
     pool_.log_.event(
         Level::kDebug, "queued",
@@ -193,7 +193,7 @@
   // The engine broke the protocol or stopped within an answer, so nothing that follows on this connection can
   // be trusted. The engine did answer, so this does not count against its health.
   void close_untrusted(const std::string& reason) {
-    close_cause_ = EndCause::kSpoiltAnswer;
+    close_cause_ = EndCause::kMalformedAnswer;
     close(reason);
   }
 
@@ -225,7 +225,7 @@
       // What the engine cannot have received completely never ran. Whether the others ran is unknown.
       const bool unwritten = !connected_ || out_.contains(pending.tag);
       const Outcome lost_outcome =
-          close_cause_ == EndCause::kSpoiltAnswer ? Outcome::kAppError : Outcome::kDropped;
+          close_cause_ == EndCause::kMalformedAnswer ? Outcome::kAppError : Outcome::kDropped;
       report_end(id, pending, unwritten ? Outcome::kDialFailed : lost_outcome,
                  connected_ ? close_cause_ : EndCause::kNoConnection, {}, {});
     }
@@ -269,7 +269,7 @@
   void schedule_write() {
     if (std::exchange(dirty_, true)) return;
     pool_.dirty_.push_back(shared_from_this());
-    pool_.coordinator_.wake();
+    pool_.coordinator_.schedule_iteration();
   }
   void set_socket_options() {
     error_code ignored;
@@ -383,7 +383,7 @@
     } else if (answer.note_kind != "pct") {
       return;
     }
-    pool_.coordinator_.noted(note);
+    pool_.coordinator_.note_received(note);
   }
 
   bool handle_ack(std::unordered_map<RequestId, PendingAttempt>::iterator at, const EngineAnswer& answer) {
@@ -484,7 +484,7 @@
 
 EnginePool::~EnginePool() = default;
 
-void EnginePool::list(const EngineChange& change) {
+void EnginePool::apply_change(const EngineChange& change) {
   const auto index = static_cast<std::size_t>(change.engine);
   if (index >= engines_.size()) engines_.resize(index + 1);
   Engine& engine = engines_[index];
@@ -499,8 +499,8 @@
       connection->close({});
       continue;
     }
-    const bool replaced =
-        address_changed || (change.came_up > engine.started_at && connection->opened_at() < change.came_up);
+    const bool replaced = address_changed || (change.started_at > engine.started_at &&
+                                              connection->opened_at() < change.started_at);
     if (replaced) connection->close_replaced();
   }
   if (address_changed) {
@@ -508,7 +508,7 @@
     engine.endpoint = parse_address(change.address);
     if (!engine.endpoint) log_.line("engine " + engine.name + " has no usable address: " + engine.address);
   }
-  engine.started_at = change.came_up;
+  engine.started_at = change.started_at;
 }
 
 bool EnginePool::runs_at_most_once(const Query& query) const {
@@ -591,7 +591,7 @@
   coordinator_.attempt_ended({id, attempt, Outcome::kDialFailed, cause, {}, {}});
 }
 
-void EnginePool::give_up(RequestId id, int attempt) {
+void EnginePool::cancel(RequestId id, int attempt) {
   const auto at = connection_by_request_.find(id);
   if (at == connection_by_request_.end()) return;
   const auto connection = std::move(at->second);
--- a/src/net/front.cpp
+++ b/src/net/front.cpp
@@ -66,8 +66,8 @@
       push(thrift::declared_exception(call, "execute", 1, {}));
       return schedule_write();
     }
-    query.ticket = {number(), call, front_.front_number_};
-    query.group = table_group(body);
+    query.reply_to = {number(), call, front_.front_number_};
+    query.table_group = table_group(body);
     open_calls_[call] = query.id;
     front_.coordinator_.arrived(std::move(query));
   }
@@ -94,7 +94,7 @@
   return std::make_shared<Client>(*this, std::move(socket), number);
 }
 
-void ThriftFront::answer(const Ticket& ticket, Answer answer) {
+void ThriftFront::answer(const ReplyTarget& ticket, Answer answer) {
   auto* client = static_cast<Client*>(find_session(ticket.session));
   if (client == nullptr) return;
   client->end_call(ticket.call);
@@ -106,7 +106,7 @@
     client->push(thrift::reply_tail(true));
   } else if (answer.verdict == Verdict::kRefused) {
     std::vector<std::pair<std::string, std::string>> fields;
-    const std::int64_t retry_after_ms = answer.come_back.count() / 1000;
+    const std::int64_t retry_after_ms = answer.retry_after.count() / 1000;
     if (retry_after_ms > 0) fields.emplace_back("later", std::to_string(retry_after_ms));
     client->push(thrift::declared_exception(ticket.call, "execute", 1, fields));
   } else {
--- a/src/net/query_fields.cpp
+++ b/src/net/query_fields.cpp
@@ -27,7 +27,7 @@
     } else if (name == "team") {
       query.tenant = tables.tenants.index(value);
     } else if (name == "second") {
-      query.resent = value == "1";
+      query.client_retry = value == "1";
     } else if (name == "cpu") {
       estimate_ms = parse_number(value);
     } else if (name == "mem") {
@@ -38,13 +38,13 @@
   if (!limit_ms || *limit_ms > kMaxLimitMs) return "limit";
   if (!estimate_ms) return "cpu";
   if (!memory_mb) return "mem";
-  if (coordinator.knows(*id)) return "txn in use";
+  if (coordinator.has_request(*id)) return "txn in use";
   query.id = *id;
   query.estimate_ms = *estimate_ms;
   query.memory_mb = *memory_mb;
-  query.limit = Micros{*limit_ms * 1000};
-  query.taken = coordinator.now();
-  return coordinator.unusable(query);
+  query.time_limit = Micros{*limit_ms * 1000};
+  query.received_at = coordinator.now();
+  return coordinator.validation_error(query);
 }
 
 std::string_view field(const thrift::Fields& fields, std::string_view name) {
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -236,12 +236,12 @@
   json change = unreadable_rows();
   change.push_back(draining);
   fixture.directory.peer(0)->write(event(2, change, false).dump() + "\n");
-  fixture.run_until([&] { return fixture.server->listed() == 2; });
+  fixture.run_until([&] { return fixture.server->last_list_event() == 2; });
   expect_served_by(1);
   json whole = unreadable_rows();
   whole.push_back(row(0, address(fixture.engines[0]->acceptor)));
   fixture.directory.peer(0)->write(event(3, whole, true).dump() + "\n3\n");
-  fixture.run_until([&] { return fixture.server->listed() == 3; });
+  fixture.run_until([&] { return fixture.server->last_list_event() == 3; });
   expect_served_by(0);
   CHECK(fixture.directory.peer(1) == nullptr);
 }
@@ -256,7 +256,7 @@
   }
   fixture.directory.peer(2)->write(event(3, {row(0, address(fixture.engines[0]->acceptor))}, false).dump() +
                                    "\n");
-  fixture.run_until([&] { return fixture.server->listed() == 3; });
+  fixture.run_until([&] { return fixture.server->last_list_event() == 3; });
   fixture.directory.peer(2)->close();
   fixture.run_until([&] { return fixture.directory.has(3, "follow 3\n"); });
 }
@@ -270,7 +270,7 @@
     fixture.run_until([&] { return fixture.directory.has(0, "follow 0\n"); });
     fixture.directory.peer(0)->write(event(1, {row(0, address(fixture.engines[0]->acceptor))}, true).dump() +
                                      "\n1\n");
-    fixture.run_until([&] { return fixture.server->listed() == 1; });
+    fixture.run_until([&] { return fixture.server->last_list_event() == 1; });
     const auto client = fixture.client();
     client->write(query(1, kId));
     fixture.run_until([&] { return fixture.engines[0]->has(0, "serve " + kId); });
@@ -543,7 +543,7 @@
   const int other = at == 0 ? 1 : 0;
   fixture.directory.peer(0)->write(
       event(2, {row(other, address(fixture.engines[1 - at]->acceptor))}, true).dump() + "\n2\n");
-  fixture.run_until([&] { return fixture.server->listed() == 2; });
+  fixture.run_until([&] { return fixture.server->last_list_event() == 2; });
   fixture.engines[at]->peer(0)->write(ack(kId, "x\t\t\n"));
   CHECK(fixture.answer(*client).field == 0);
 }
@@ -840,9 +840,9 @@
     run_until([&] { return directory.has(0, follow); });
     directory.peer(0)->write(
         event(2, random_rows(*inRange(0, 60), zones, kinds), *inRange(0, 2) == 1).dump() + "\n2\n");
-    run_until([&] { return server.listed() == 2; });
+    run_until([&] { return server.last_list_event() == 2; });
     directory.peer(0)->write(event(3, random_rows(*inRange(0, 5), zones, kinds), true).dump() + "\n3\n");
-    run_until([&] { return server.listed() == 3; });
+    run_until([&] { return server.last_list_event() == 3; });
     // Every request is answered within its limit.
     run_until([&] {
       return client.read(), std::count(client.received.begin(), client.received.end(), '\x80') >= 6;
