--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -33,7 +33,7 @@
     options.durable = seed % 4 != 0;
     const SimResult result = simulate(options);
     requests += result.requests, answers += result.answers, twice += result.loads_run_twice;
-    faults += !result.faults.empty();
+    faults += !result.violations.empty();
   }
   return {{"answers_per_request", static_cast<double>(answers) / static_cast<double>(requests)},
           {"loads_run_twice", twice},
@@ -45,22 +45,22 @@
 json idle_sessions() {
   constexpr std::size_t kSessions = 10'000;
   edge::EdgeSettings settings;
-  settings.gate.rate = 1e6;
-  settings.gate.burst = 1e6;
-  edge::EdgeLogic logic(settings, edge::Sealer({}), {1}, 7, edge::Micros{0}, 0);
-  std::vector<edge::Act> acts;
+  settings.admission.rate_per_second = 1e6;
+  settings.admission.burst = 1e6;
+  edge::EdgeLogic logic(settings, edge::TokenSigner({}), {1}, 7, edge::Micros{0}, 0);
+  std::vector<edge::EdgeAction> acts;
   const auto before = mallinfo2().uordblks;
   for (std::uint64_t conn = 1; conn <= kSessions; ++conn) {
-    logic.opened(conn, edge::Micros{0});
+    logic.on_open(conn, edge::Micros{0});
     edge::Frame hello;
     hello.type = edge::Frame::Type::kHello;
     hello.device = "tablet-" + std::to_string(conn);
-    logic.heard(conn, hello, edge::Micros{0}, acts);
+    logic.on_frame(conn, hello, edge::Micros{0}, acts);
     acts.clear();
   }
   acts.shrink_to_fit();
   const auto after = mallinfo2().uordblks;
-  if (logic.sessions() != kSessions) std::abort();
+  if (logic.session_count() != kSessions) std::abort();
   return {{"bytes_per_idle_session", static_cast<double>(after - before) / kSessions}};
 }
 
@@ -69,7 +69,7 @@
 json storm(bool quick) {
   const std::uint64_t devices = quick ? 2000 : 10'000;
   edge::EdgeSettings settings;
-  edge::EdgeLogic logic(settings, edge::Sealer({}), {1}, 7, edge::Micros{0}, 0);
+  edge::EdgeLogic logic(settings, edge::TokenSigner({}), {1}, 7, edge::Micros{0}, 0);
   constexpr double kRoundTrip = 100'000;
   pcg32 random(5);
   struct Device {
@@ -83,22 +83,22 @@
   }
   std::map<std::uint64_t, std::uint64_t> whose;
   std::uint64_t conn = 0, turned = 0, left = devices;
-  std::vector<edge::Act> acts;
+  std::vector<edge::EdgeAction> acts;
   for (std::int64_t now = 0; left > 0 && now < 600'000'000; now += 10'000) {
     while (!due.empty() && due.begin()->first <= now) {
       const std::uint64_t i = due.begin()->second;
       due.erase(due.begin());
       whose[++conn] = i;
-      logic.opened(conn, edge::Micros{now});
+      logic.on_open(conn, edge::Micros{now});
       edge::Frame hello;
       hello.type = edge::Frame::Type::kHello;
       hello.device = "d" + std::to_string(i);
       hello.deadline_ms = std::max<std::int64_t>(0, (all[i].deadline - now) / 1000);
-      logic.heard(conn, hello, edge::Micros{now}, acts);
+      logic.on_frame(conn, hello, edge::Micros{now}, acts);
     }
     logic.advance(edge::Micros{now}, now, acts);
-    for (const edge::Act& act : acts) {
-      const auto* down = std::get_if<edge::ToDevice>(&act);
+    for (const edge::EdgeAction& act : acts) {
+      const auto* down = std::get_if<edge::SendFrame>(&act);
       if (down == nullptr) continue;
       const auto at = whose.find(down->conn);
       if (at == whose.end()) continue;
@@ -107,11 +107,12 @@
         --left;
       } else if (down->frame.type == edge::Frame::Type::kLater) {
         ++turned;
-        due.emplace(now + down->frame.later_ms * 1000 + static_cast<std::int64_t>(kRoundTrip), at->second);
+        due.emplace(now + down->frame.retry_after_ms * 1000 + static_cast<std::int64_t>(kRoundTrip),
+                    at->second);
       } else {
         continue;
       }
-      if (down->frame.type == edge::Frame::Type::kLater) logic.closed(at->first, edge::Micros{now}, acts);
+      if (down->frame.type == edge::Frame::Type::kLater) logic.on_close(at->first, edge::Micros{now}, acts);
       whose.erase(at);
     }
     acts.clear();
@@ -165,7 +166,7 @@
     std::size_t asked = 0;
     const auto start = Time::now();
     while (asked < loads || !device.idle()) {
-      while (asked < loads && device.open() < 128) {
+      while (asked < loads && device.open_count() < 128) {
         client.ask("load", "insert into a_" + std::to_string(asked % 64) + ".t", 9000);
         ++asked;
       }
@@ -175,13 +176,13 @@
     site.server->io().stop();
     coordinator.join();
     for (const auto& [_, request] : device.requests()) {
-      if (request.outcome.how != edge::Outcome::How::kServed) std::abort();
+      if (request.outcome.status != edge::Outcome::Status::kServed) std::abort();
     }
     if (durable) {
       const auto* ledger = site.server->edge()->ledger();
       // A transaction is one sync: so many durable records share it.
       out["ledger_commits_per_sync"] =
-          static_cast<double>(ledger->records()) / static_cast<double>(ledger->commits());
+          static_cast<double>(ledger->record_count()) / static_cast<double>(ledger->commit_count());
     }
   }
   out["load_us_in_memory"] = median(cost[0]) * 1e6;
@@ -226,7 +227,7 @@
         site.io, site.server->edge_endpoint(),
         [i, mean](std::size_t n) { return cut_link(static_cast<std::uint64_t>(i) * 7919 + n, mean); }));
     tablets.push_back(std::make_unique<Device>("acme", "tablet" + std::to_string(i)));
-    tablets.back()->plain = !sessions;
+    tablets.back()->sessionless = !sessions;
     clients.push_back(std::make_unique<EdgeClient>(site.io, *tablets.back(), proxies.back()->endpoint(),
                                                    By::kWebSocketCbor));
     clients.back()->set_patience(milliseconds(300));
@@ -242,8 +243,8 @@
   double rows = 0;
   for (const auto& tablet : tablets) {
     for (const auto& [_, request] : tablet->requests())
-      rows += request.done && request.have_rows == request.outcome.rows
-                  ? static_cast<double>(request.have_rows)
+      rows += request.done && request.row_count == request.outcome.rows
+                  ? static_cast<double>(request.row_count)
                   : 0;
   }
   return rows;
--- a/models/edge.pml
+++ b/models/edge.pml
@@ -1,28 +1,29 @@
-/* One load, its device, the edge's ledger and its process, as src/edge/logic/ledger_logic and edge_logic have them.
+/* Model of one load, its device, the edge's ledger and the edge's process, as in src/edge/logic/ledger_logic and
+ * edge_logic.
  *
- * The device asks until it has an answer, and asks again afterwards (it may have lost its memory); links lose what is
- * on them; the process may be killed twice, at any moment. Checked: the load runs once at most; what the device was
- * told is never taken back; a device that keeps asking is answered in the end. With -DBROKEN_ORDER the load is
- * dispatched before its record is on the disk, with -DBROKEN_TELL its outcome is told before that.
+ * The device retries until it has an answer, and retries afterwards as well (it may have lost its state); links lose
+ * messages; the process may be killed twice, at any point. Checked: the load runs at most once; an outcome reported to
+ * the device never changes; a device that keeps retrying is answered eventually. With -DBROKEN_ORDER the load is
+ * dispatched before its record is on disk, with -DBROKEN_REPORT its outcome is reported before its record is on disk.
  */
 mtype = { none, taken, dispatched, answered, told, unknown };
 
-mtype mem = none;            /* the entry in this process */
-bool disk_dispatched = false, disk_answered = false;
-bool writing_dispatch = false, writing_answer = false;   /* a commit under way */
-bool running = false;        /* at the engine: its process outlives the edge's */
-bool answer_due = false;     /* the coordinator of this process will hear of the end */
+mtype state = none;            /* state of the entry in this process */
+bool dispatch_on_disk = false, answer_on_disk = false;
+bool writing_dispatch_record = false, writing_answer_record = false;   /* a commit is in progress */
+bool running = false;        /* at the engine, which outlives the edge's process */
+bool completion_pending = false;     /* this process's coordinator will report the end */
 byte runs = 0;
 bool request = false;        /* on the link to the edge */
 byte reply = 0;              /* on the link to the device: 1 served, 2 unknown */
-byte first = 0;              /* what the device was told first */
-bool changed = false;
-byte crashes = 0, asked = 0;
+byte first_reply = 0;              /* the first outcome that the device received */
+bool outcome_changed = false;
+byte crashes = 0, requests_sent = 0;
 
-inline tell() {
+inline send_reply() {
   if
-  :: mem == told -> reply = 1
-  :: mem == unknown -> reply = 2
+  :: state == told -> reply = 1
+  :: state == unknown -> reply = 2
   :: else
   fi
 }
@@ -32,44 +33,44 @@
   do
   :: atomic { request -> request = false;
        if
-       :: mem == none ->
-            mem = taken;
+       :: state == none ->
+            state = taken;
 #ifdef BROKEN_ORDER
-            mem = dispatched; running = true; answer_due = true;
+            state = dispatched; running = true; completion_pending = true;
 #endif
-            writing_dispatch = true
-       :: mem == told || mem == unknown -> tell()
-       :: else   /* under way */
+            writing_dispatch_record = true
+       :: state == told || state == unknown -> send_reply()
+       :: else   /* in progress */
        fi }
   od
 }
 
-/* Commits, one after the other: processes of their own, so that fairness lets each go on. */
+/* Commits, one at a time, in processes of their own so that fairness applies to each. */
 active proctype DispatchRecord() {
 end:
   do
-  :: atomic { writing_dispatch -> writing_dispatch = false; disk_dispatched = true;
-       if :: mem == taken -> mem = dispatched; running = true; answer_due = true :: else fi }
+  :: atomic { writing_dispatch_record -> writing_dispatch_record = false; dispatch_on_disk = true;
+       if :: state == taken -> state = dispatched; running = true; completion_pending = true :: else fi }
   od
 }
 
 active proctype AnswerRecord() {
 end:
   do
-  :: atomic { writing_answer -> writing_answer = false;
+  :: atomic { writing_answer_record -> writing_answer_record = false;
        if
-       :: disk_answered = true; if :: mem == answered -> mem = told :: else fi
-       :: if :: mem == answered -> mem = unknown :: else fi    /* the disk is full */
+       :: answer_on_disk = true; if :: state == answered -> state = told :: else fi
+       :: if :: state == answered -> state = unknown :: else fi    /* the disk is full */
        fi;
-       tell() }
+       send_reply() }
   od
 }
 
 active proctype Coordinator() {
 end:
   do
-  :: atomic { mem == dispatched && !running && answer_due -> answer_due = false; mem = answered; writing_answer = true;
-#ifdef BROKEN_TELL
+  :: atomic { state == dispatched && !running && completion_pending -> completion_pending = false; state = answered; writing_answer_record = true;
+#ifdef BROKEN_REPORT
        reply = 1
 #endif
      }
@@ -87,14 +88,14 @@
   do
   :: atomic { reply > 0 ->
        if
-       :: first == 0 -> first = reply
-       :: first > 0 && first != reply -> changed = true
+       :: first_reply == 0 -> first_reply = reply
+       :: first_reply > 0 && first_reply != reply -> outcome_changed = true
        :: else
        fi;
        reply = 0 }
-  :: atomic { !request && reply == 0 && (first == 0 || asked < 6) ->
-       request = true; if :: asked < 6 -> asked++ :: else fi }
-  :: atomic { first > 0 && asked == 6 -> break }
+  :: atomic { !request && reply == 0 && (first_reply == 0 || requests_sent < 6) ->
+       request = true; if :: requests_sent < 6 -> requests_sent++ :: else fi }
+  :: atomic { first_reply > 0 && requests_sent == 6 -> break }
   od
 }
 
@@ -103,24 +104,24 @@
   do
   :: atomic { request && lost < 2 -> request = false; lost++ }
   :: atomic { reply > 0 && lost < 2 -> reply = 0; lost++ }
-  :: atomic { first > 0 || lost == 2 -> break }
+  :: atomic { first_reply > 0 || lost == 2 -> break }
   od
 }
 
-/* kill -9: memory, commits under way and what was on the links are gone; the engine goes on. */
+/* kill -9: memory, commits in progress and messages on the links are lost; the engine continues. */
 active proctype Crash() {
   do
   :: atomic { crashes < 2 -> crashes++;
-       writing_dispatch = false; writing_answer = false; answer_due = false; request = false; reply = 0;
+       writing_dispatch_record = false; writing_answer_record = false; completion_pending = false; request = false; reply = 0;
        if
-       :: disk_answered -> mem = told
-       :: !disk_answered && disk_dispatched -> mem = unknown
-       :: else -> mem = none
+       :: answer_on_disk -> state = told
+       :: !answer_on_disk && dispatch_on_disk -> state = unknown
+       :: else -> state = none
        fi }
   :: break
   od
 }
 
-ltl load_once { [] (runs <= 1) }
-ltl never_taken_back { [] (!changed) }
-ltl answered_in_the_end { <> (first > 0) }
+ltl load_at_most_once { [] (runs <= 1) }
+ltl outcome_never_changes { [] (!outcome_changed) }
+ltl answered_eventually { <> (first_reply > 0) }
--- a/src/edge/codec.cpp
+++ b/src/edge/codec.cpp
@@ -18,10 +18,10 @@
                                                          {"answer", Body::Kind::kAnswer},
                                                          {"rows", Body::Kind::kRows},
                                                          {"notice", Body::Kind::kNotice}};
-constexpr std::pair<const char*, Outcome::How> kHows[] = {{"served", Outcome::How::kServed},
-                                                          {"refused", Outcome::How::kRefused},
-                                                          {"failed", Outcome::How::kFailed},
-                                                          {"unknown", Outcome::How::kUnknown}};
+constexpr std::pair<const char*, Outcome::Status> kHows[] = {{"served", Outcome::Status::kServed},
+                                                             {"refused", Outcome::Status::kRefused},
+                                                             {"failed", Outcome::Status::kFailed},
+                                                             {"unknown", Outcome::Status::kUnknown}};
 
 template <typename T, std::size_t N>
 const char* word(const std::pair<const char*, T> (&words)[N], T value) {
@@ -152,7 +152,7 @@
   if (b.kind != Body::Kind::kNotice) out["key"] = b.key;
   switch (b.kind) {
     case Body::Kind::kRequest:
-      out["first"] = hex(b.first);
+      out["first"] = hex(b.first_incarnation);
       out["verb"] = b.verb;
       out["statement"] = b.statement;
       out["limit"] = b.limit_ms;
@@ -160,15 +160,15 @@
       if (b.mem > 0) out["mem"] = b.mem;
       break;
     case Body::Kind::kAnswer:
-      out["how"] = word(kHows, b.outcome.how);
-      out["again"] = b.outcome.again;
-      if (b.outcome.later.count() > 0) out["later"] = b.outcome.later.count() / 1000;
-      if (b.outcome.how == Outcome::How::kServed)
+      out["how"] = word(kHows, b.outcome.status);
+      out["again"] = b.outcome.retry_safe;
+      if (b.outcome.retry_after.count() > 0) out["later"] = b.outcome.retry_after.count() / 1000;
+      if (b.outcome.status == Outcome::Status::kServed)
         out["rows"] = b.outcome.rows, out["bytes"] = b.outcome.bytes;
       break;
     case Body::Kind::kRows:
-      out["row"] = b.row;
-      out["count"] = b.count;
+      out["row"] = b.first_row;
+      out["count"] = b.row_count;
       out["last"] = b.last;
       if (b.text) {
         // The rows' bytes are the engine's: where they are no text, they go as they can without being
@@ -195,7 +195,7 @@
   b.code = in.value("code", std::string());
   switch (b.kind) {
     case Body::Kind::kRequest:
-      b.first = unhex(in.at("first"));
+      b.first_incarnation = unhex(in.at("first"));
       b.verb = in.at("verb");
       b.statement = in.at("statement");
       b.limit_ms = in.at("limit");
@@ -203,15 +203,15 @@
       b.mem = in.value("mem", 0.0);
       break;
     case Body::Kind::kAnswer:
-      b.outcome.how = value(kHows, in.at("how").get<std::string>());
-      b.outcome.again = in.at("again");
-      b.outcome.later = Micros{in.value("later", std::int64_t{0}) * 1000};
+      b.outcome.status = value(kHows, in.at("how").get<std::string>());
+      b.outcome.retry_safe = in.at("again");
+      b.outcome.retry_after = Micros{in.value("later", std::int64_t{0}) * 1000};
       b.outcome.rows = in.value("rows", std::uint64_t{0});
       b.outcome.bytes = in.value("bytes", std::uint64_t{0});
       break;
     case Body::Kind::kRows:
-      b.row = in.at("row");
-      b.count = in.at("count");
+      b.first_row = in.at("row");
+      b.row_count = in.at("count");
       b.last = in.at("last");
       if (in.contains("text")) {
         const json& text = in.at("text");
@@ -231,34 +231,37 @@
   json out = {{"t", word(kTypes, f.type)}};
   switch (f.type) {
     case Type::kHello:
-      out.update({{"tenant", f.tenant}, {"device", f.device}, {"have", f.have}, {"deadline", f.deadline_ms}});
+      out.update({{"tenant", f.tenant},
+                  {"device", f.device},
+                  {"have", f.next_expected},
+                  {"deadline", f.deadline_ms}});
       if (!f.token.empty()) out["token"] = f.token;
       break;
     case Type::kWelcome:
       out.update({{"token", f.token},
                   {"incarnation", hex(f.incarnation)},
-                  {"have", f.have},
+                  {"have", f.next_expected},
                   {"resumed", f.resumed},
                   {"heartbeat", f.heartbeat_ms}});
       break;
     case Type::kMessage:
-      out.update({{"seq", f.seq}, {"have", f.have}, {"body", body_to(f.body, format)}});
+      out.update({{"seq", f.seq}, {"have", f.next_expected}, {"body", body_to(f.body, format)}});
       break;
     case Type::kAck:
-      out["have"] = f.have;
+      out["have"] = f.next_expected;
       break;
     case Type::kPing:
     case Type::kPong:
-      out.update({{"nonce", hex(f.nonce)}, {"have", f.have}});
+      out.update({{"nonce", hex(f.nonce)}, {"have", f.next_expected}});
       break;
     case Type::kLater:
-      out["later"] = f.later_ms;
+      out["later"] = f.retry_after_ms;
       break;
     case Type::kMoved:
       out["home"] = f.home;
       break;
     case Type::kError:
-      out.update({{"code", f.code}, {"text", f.text}, {"again", f.again}});
+      out.update({{"code", f.code}, {"text", f.text}, {"again", f.retry_safe}});
       break;
     default:
       break;
@@ -268,7 +271,7 @@
 
 void frame_from(const json& in, Frame& f) {
   f.type = value(kTypes, in.at("t").get<std::string>());
-  f.have = in.value("have", Seq{0});
+  f.next_expected = in.value("have", Seq{0});
   switch (f.type) {
     case Type::kHello:
       f.tenant = in.value("tenant", std::string());
@@ -295,7 +298,7 @@
       f.nonce = unhex(in.at("nonce"));
       break;
     case Type::kLater:
-      f.later_ms = in.at("later");
+      f.retry_after_ms = in.at("later");
       break;
     case Type::kMoved:
       f.home = in.at("home");
@@ -303,7 +306,7 @@
     case Type::kError:
       f.code = in.at("code");
       f.text = in.at("text");
-      f.again = in.at("again");
+      f.retry_safe = in.at("again");
       break;
     default:
       break;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -15,8 +15,8 @@
 // Readers of the spool's own service count up from 1.
 constexpr std::uint64_t kOwnReader = std::uint64_t{1} << 63;
 
-Sealer::Secret secret_of(const std::string& path) {
-  Sealer::Secret secret{};
+TokenSigner::Secret secret_of(const std::string& path) {
+  TokenSigner::Secret secret{};
   if (path.empty()) {
     randombytes_buf(secret.data(), secret.size());
     return secret;
@@ -82,9 +82,9 @@
       index = spool::lmdb_index(conf.ledger_folder, conf.ledger_most);
     }
     ledger_ = std::make_unique<LedgerWriter>(
-        strand, std::move(index), settings.tenants, [this](const Record& record, bool durable) {
-          if (!durable) log_.event(Level::kError, "edge-not-recorded", {{"fate", name(record.fate)}});
-          logic_->recorded(record, durable, now(), acts_);
+        strand, std::move(index), settings.tenants, [this](const LedgerRecord& record, bool durable) {
+          if (!durable) log_.event(Level::kError, "edge-not-recorded", {{"fate", name(record.state)}});
+          logic_->on_recorded(record, durable, now(), acts_);
           run();
         });
     found = ledger_->recover(fresh, unix_now());
@@ -94,9 +94,9 @@
                 {"incarnations", found.incarnations.size()},
                 {"usable", found.usable ? "yes" : "no"}});
   }
-  logic_ = std::make_unique<EdgeLogic>(settings, Sealer(secret_of(conf.secret_file)), found.incarnations,
+  logic_ = std::make_unique<EdgeLogic>(settings, TokenSigner(secret_of(conf.secret_file)), found.incarnations,
                                        seed, now(), unix_now());
-  for (const Record& record : found.records) logic_->recover(record, acts_);
+  for (const LedgerRecord& record : found.records) logic_->recover(record, acts_);
   run();
 }
 
@@ -114,7 +114,7 @@
   EdgeSettings settings = conf.logic;
   for (int i = 0; i < tables_.tenants.size(); ++i) settings.tenants.push_back(tables_.tenants.name(i));
   for (int i = 0; i < tables_.classes.size(); ++i)
-    settings.once[tables_.classes.name(i)] =
+    settings.at_most_once[tables_.classes.name(i)] =
         coordinator_.settings().classes[static_cast<std::size_t>(i)].effect != Effect::kRepeatable;
   return settings;
 }
@@ -126,25 +126,25 @@
 ConnId Edge::opened(std::shared_ptr<Link> link) {
   const ConnId conn = ++last_conn_;
   links_[conn] = std::move(link);
-  logic_->opened(conn, now());
+  logic_->on_open(conn, now());
   arm();
   return conn;
 }
 void Edge::heard(ConnId conn, const Frame& frame) {
-  logic_->heard(conn, frame, now(), acts_);
+  logic_->on_frame(conn, frame, now(), acts_);
   run();
 }
 void Edge::closed(ConnId conn) {
   links_.erase(conn);
-  logic_->closed(conn, now(), acts_);
+  logic_->on_close(conn, now(), acts_);
   run();
 }
 void Edge::room(ConnId conn, bool room) {
-  logic_->room(conn, room, now(), acts_);
+  logic_->on_writable(conn, room, now(), acts_);
   run();
 }
 void Edge::polled(ConnId conn, Seq have) {
-  logic_->polled(conn, have, now(), acts_);
+  logic_->on_poll(conn, have, now(), acts_);
   run();
 }
 
@@ -154,7 +154,7 @@
   if (std::exchange(working_, true)) return;
   forget_due();
   for (std::size_t i = 0; i < acts_.size(); ++i) {
-    const Act act = std::move(acts_[i]);
+    const EdgeAction act = std::move(acts_[i]);
     std::visit([this](const auto& a) { carry_out(a); }, act);
   }
   acts_.clear();
@@ -162,7 +162,7 @@
   arm();
 }
 
-void Edge::carry_out(const ToDevice& act) {
+void Edge::carry_out(const SendFrame& act) {
   const auto at = links_.find(act.conn);
   if (at != links_.end()) at->second->send(act.frame);
 }
@@ -173,14 +173,14 @@
   const auto link = std::move(at->second);
   links_.erase(at);
   link->close();
-  logic_->closed(act.conn, now(), acts_);
+  logic_->on_close(act.conn, now(), acts_);
 }
 
-void Edge::carry_out(const Write& act) {
+void Edge::carry_out(const WriteRecord& act) {
   if (ledger_) ledger_->write(act.record);
 }
 
-void Edge::carry_out(const Submit& act) {
+void Edge::carry_out(const SubmitRequest& act) {
   Query query;
   query.id = act.request;
   query.name = hex16(act.request);
@@ -196,7 +196,7 @@
   query.ticket = {act.request, 0, number_};
   if (coordinator_.unusable(query) != nullptr || coordinator_.knows(query.id)) {
     Outcome outcome;  // it reaches neither the module nor an engine
-    outcome.how = Outcome::How::kRefused;
+    outcome.status = Outcome::Status::kRefused;
     return answered(act.request, outcome);
   }
   Running& running = running_[act.request];
@@ -212,14 +212,14 @@
   coordinator_.arrived(std::move(query));
 }
 
-void Edge::carry_out(const Withdraw& act) {
+void Edge::carry_out(const CancelRequest& act) {
   running_.erase(act.request);
   spool_.ended(act.request, spool::End::kInterrupted);
   coordinator_.client_gone(act.request);
 }
 
 void Edge::answered(RequestId request, const Outcome& outcome) {
-  logic_->answered(request, outcome, now(), acts_);
+  logic_->on_outcome(request, outcome, now(), acts_);
   run();
 }
 
@@ -233,13 +233,13 @@
   if (answer.verdict != Verdict::kServed) {
     const bool refused = answer.verdict == Verdict::kRefused;
     if (running.spooled) spool_.ended(id, refused ? spool::End::kRefused : spool::End::kFailed);
-    outcome.how = refused ? Outcome::How::kRefused : Outcome::How::kFailed;
-    outcome.again = refused || running.repeatable;
-    outcome.later = answer.come_back;
+    outcome.status = refused ? Outcome::Status::kRefused : Outcome::Status::kFailed;
+    outcome.retry_safe = refused || running.repeatable;
+    outcome.retry_after = answer.come_back;
     return answered(id, outcome);
   }
-  outcome.how = Outcome::How::kServed;
-  outcome.request = id;
+  outcome.status = Outcome::Status::kServed;
+  outcome.result_id = id;
   Result result;
   result.tenant = running.tenant;
   const auto keep_whole = [&](spool::Window window) {
@@ -271,19 +271,19 @@
         keep_whole(opened.window);
       } else {
         // It ran, and its rows found no room.
-        outcome.how = Outcome::How::kFailed;
-        outcome.again = running.repeatable;
+        outcome.status = Outcome::Status::kFailed;
+        outcome.retry_safe = running.repeatable;
       }
     });
   }
-  if (outcome.how == Outcome::How::kServed && outcome.rows > 0) {
+  if (outcome.status == Outcome::Status::kServed && outcome.rows > 0) {
     results_[id] = std::move(result);
     due_.emplace(running.give_up, id);
   }
   answered(id, outcome);
 }
 
-void Edge::carry_out(const Fetch& act) {
+void Edge::carry_out(const FetchRows& act) {
   auto at = results_.find(act.request);
   if (at == results_.end()) {
     // A result of a process before this one, which the spool may have found on disk.
@@ -303,7 +303,7 @@
   if (result.direct) {
     // All there is, from the row on: it is short.
     spool::Window window = result.whole;
-    std::uint64_t skip = act.row;
+    std::uint64_t skip = act.first_row;
     while (skip > 0 && !window.slices.empty()) {
       spool::Slice& slice = window.slices.front();
       const std::size_t end = slice.page->find('\n', slice.from);
@@ -311,18 +311,18 @@
       if (slice.from == slice.to) window.slices.erase(window.slices.begin());
       --skip;
     }
-    window.first_row = act.row;
-    window.rows = window.total_rows - act.row;
+    window.first_row = act.first_row;
+    window.rows = window.total_rows - act.first_row;
     return give(act, window);
   }
   const spool::Grant grant =
-      spool_.fetch(result.handle, result.tenant, act.request | kOwnReader, {false, act.row}, act.bytes,
-                   [this, act](const spool::Window& window) { give(act, window); });
+      spool_.fetch(result.handle, result.tenant, act.request | kOwnReader, {false, act.first_row},
+                   act.page_bytes, [this, act](const spool::Window& window) { give(act, window); });
   if (grant.access != spool::Access::kGranted) give(act, none);
 }
 
-void Edge::give(const Fetch& act, const spool::Window& window) {
-  EdgeLogic::Rows rows{act.session, act.request, act.row, window.rows, nullptr, false};
+void Edge::give(const FetchRows& act, const spool::Window& window) {
+  EdgeLogic::Rows rows{act.session, act.request, act.first_row, window.rows, nullptr, false};
   if (window.error == spool::StoreError::kNone) {
     auto text = std::make_shared<std::string>();
     for (const spool::Slice& slice : window.slices)
@@ -330,34 +330,34 @@
     rows.text = std::move(text);
     rows.last = window.last();
   }
-  logic_->rows(rows, now(), acts_);
+  logic_->on_rows(rows, now(), acts_);
   run();
 }
 
 // The spool has let go of them by itself; what stands here is the handle, or a short answer's rows.
 void Edge::forget_due() {
   while (!due_.empty() && due_.top().first <= now()) {
-    carry_out(Release{due_.top().second, 0});
+    carry_out(ReleaseResult{due_.top().second, 0});
     due_.pop();
   }
 }
 
-void Edge::carry_out(const Release& act) {
+void Edge::carry_out(const ReleaseResult& act) {
   const auto at = results_.find(act.request);
   if (at == results_.end()) return;
   const Result result = std::move(at->second);
   results_.erase(at);
   if (result.direct) {
     direct_bytes_ -= std::min(direct_bytes_, result.whole.bytes);
-  } else if (act.rows > 0) {
-    spool_.acknowledge(result.handle, result.tenant, act.request | kOwnReader, act.rows);
+  } else if (act.delivered_rows > 0) {
+    spool_.acknowledge(result.handle, result.tenant, act.request | kOwnReader, act.delivered_rows);
   } else {
     spool_.release(result.handle, result.tenant, act.request | kOwnReader);
   }
 }
 
 void Edge::arm() {
-  const auto next = logic_->next(now());
+  const auto next = logic_->next_wakeup(now());
   if (!next || (armed_for_.count() > 0 && armed_for_ <= *next)) return;
   armed_for_ = *next;
   timer_.expires_at(std::chrono::steady_clock::time_point(armed_for_));
@@ -375,28 +375,28 @@
 }
 
 void Edge::observe() {
-  const Counts& c = logic_->counts();
+  const Counters& c = logic_->counters();
   const auto set = [](prometheus::Gauge& gauge, std::uint64_t value) {
     gauge.Set(static_cast<double>(value));
   };
-  set(counted_.sessions, logic_->sessions());
-  set(counted_.live, logic_->live());
+  set(counted_.sessions, logic_->session_count());
+  set(counted_.live, logic_->connected_count());
   set(counted_.bytes, logic_->memory().used());
-  set(counted_.waiting, logic_->waiting());
+  set(counted_.waiting, logic_->waiting_count());
   set(counted_.entries, logic_->ledger().size());
   set(counted_.begun, c.sessions_begun);
   set(counted_.resumed, c.resumed);
   set(counted_.taken_over, c.taken_over);
   set(counted_.expired, c.expired);
-  set(counted_.turned_away, c.turned_away);
+  set(counted_.turned_away, c.rejected);
   set(counted_.forged, c.forged);
   set(counted_.suspected, c.suspected);
   set(counted_.requests, c.requests);
   set(counted_.repeats, c.repeats);
   set(counted_.answers, c.answers);
-  set(counted_.unknowns, c.unknowns);
+  set(counted_.unknowns, c.unknown_outcomes);
   set(counted_.refused, c.refused);
-  if (ledger_) set(counted_.commits, ledger_->commits()), set(counted_.records, ledger_->records());
+  if (ledger_) set(counted_.commits, ledger_->commit_count()), set(counted_.records, ledger_->record_count());
 }
 
 }  // namespace steprail::edge
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -53,7 +53,7 @@
   // At SIGTERM: devices are told; settled() once all that was taken is answered and, as far as devices are
   // there, has arrived.
   void drain();
-  bool settled() const { return logic_->settled() && (!ledger_ || ledger_->idle()); }
+  bool settled() const { return logic_->quiescent() && (!ledger_ || ledger_->idle()); }
   void observe();
   const EdgeLogic& logic() const { return *logic_; }
   const LedgerWriter* ledger() const { return ledger_.get(); }
@@ -69,16 +69,16 @@
   static std::int64_t unix_now();
   EdgeSettings settings_of(const EdgeConf& conf) const;
   void run();
-  void carry_out(const ToDevice& act);
+  void carry_out(const SendFrame& act);
   void carry_out(const CloseConn& act);
-  void carry_out(const Write& act);
-  void carry_out(const Submit& act);
-  void carry_out(const Withdraw& act);
-  void carry_out(const Fetch& act);
-  void carry_out(const Release& act);
+  void carry_out(const WriteRecord& act);
+  void carry_out(const SubmitRequest& act);
+  void carry_out(const CancelRequest& act);
+  void carry_out(const FetchRows& act);
+  void carry_out(const ReleaseResult& act);
   void answered(RequestId request, const Outcome& outcome);
   void forget_due();
-  void give(const Fetch& act, const spool::Window& window);
+  void give(const FetchRows& act, const spool::Window& window);
   void arm();
 
   Strand strand_;
@@ -102,7 +102,7 @@
   std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
   std::uint64_t direct_bytes_{0};
   ConnId last_conn_{0};
-  std::vector<Act> acts_;
+  std::vector<EdgeAction> acts_;
   bool working_{false};
   boost::asio::steady_timer timer_;
   Micros armed_for_{0};
--- a/src/edge/fronts.cpp
+++ b/src/edge/fronts.cpp
@@ -37,7 +37,7 @@
   frame.type = Frame::Type::kError;
   frame.code = code;
   frame.text = text;
-  frame.again = again;
+  frame.retry_safe = again;
   return frame;
 }
 
@@ -197,7 +197,7 @@
   void opened(ConnId conn) { conn_ = conn; }
   ConnId conn() const { return conn_; }
   const std::string& name() const { return name_; }
-  void touch() { fronts_.links_.heard(name_, now()); }
+  void touch() { fronts_.links_.touch(name_, now()); }
   bool ended() const { return ended_; }
 
   void send(const Frame& frame) override {
@@ -209,7 +209,7 @@
   }
   void close() override {
     ended_ = true;
-    fronts_.links_.end(name_);
+    fronts_.links_.mark_closed(name_);
     soon();
   }
   // Answers with what there is, as soon as there is something, or with nothing when the wait is over.
@@ -219,7 +219,7 @@
     // One poll at a time: an earlier one was left by its device, or it would not ask again.
     if (respond_) std::exchange(respond_, nullptr)({});
     respond_ = std::move(respond);
-    fronts_.links_.waits(name_, true);
+    fronts_.links_.set_polling(name_, true);
     wait_.expires_after(fronts_.limits_.poll_wait);
     wait_.async_wait([self = shared_from_this(), serial = ++serial_](error_code error) {
       if (!error && *self->alive_ && serial == self->serial_ && self->respond_) self->tell();
@@ -232,7 +232,7 @@
     if (serial != serial_ || !respond_) return;
     wait_.cancel();
     respond_ = nullptr;
-    fronts_.links_.waits(name_, false);
+    fronts_.links_.set_polling(name_, false);
   }
   // What an earlier poll may have lost is transmitted anew, so that what waits here of it must go.
   void forget_messages() {
@@ -252,7 +252,7 @@
   void tell() {
     wait_.cancel();
     const auto respond = std::exchange(respond_, nullptr);
-    fronts_.links_.waits(name_, false);
+    fronts_.links_.set_polling(name_, false);
     std::vector<Frame> frames;
     const std::size_t count = std::min(queue_.size(), kPollFrames);
     frames.assign(queue_.begin(), queue_.begin() + static_cast<std::ptrdiff_t>(count));
@@ -362,10 +362,10 @@
     if (envelope.frames.size() != 1)
       return answer(http::status::bad_request, "hello-first", "one hello opens a link", false);
     // A link outlives the connection that opened it: their number has a bound of its own.
-    const PollLinks::Room room = fronts_.links_.room(fronts_.limits_.connections);
-    if (!room.is)
+    const PollLinks::EvictionPlan room = fronts_.links_.plan_eviction(fronts_.limits_.connections);
+    if (!room.has_room)
       return answer(http::status::service_unavailable, "links", "no room for another link now", true);
-    for (const std::string& link : room.gives_way) fronts_.drop(link);
+    for (const std::string& link : room.evicted) fronts_.drop(link);
     unsigned char bytes[16];
     randombytes_buf(bytes, sizeof bytes);
     char name[33];
@@ -507,7 +507,8 @@
   sweep_.expires_after(kSweep);
   sweep_.async_wait([this, alive = alive_](error_code error) {
     if (error || !*alive) return;
-    for (const std::string& link : links_.silent(now(), std::max(kPollGone, 2 * limits_.poll_wait)))
+    for (const std::string& link :
+         links_.silent_longer_than(now(), std::max(kPollGone, 2 * limits_.poll_wait)))
       drop(link);
     accept();
     sweep();
--- a/src/edge/ledger/ledger_store.h
+++ b/src/edge/ledger/ledger_store.h
@@ -1,5 +1,5 @@
-// The ledger on disk: one value a key in the embedded store, and the incarnations of this home. A thread of
-// its own writes; what comes while it is busy is its next transaction.
+// The ledger on disk: one value per key in the embedded store, and the incarnations of this home. A thread of
+// its own writes; records that come while a commit is in progress form the next transaction (group commit).
 #pragma once
 
 #include <functional>
@@ -14,27 +14,27 @@
 
 namespace steprail::edge {
 
-// Without a thread: what a batch is on the disk.
+// Reads and writes the records synchronously; has no thread.
 class LedgerStore {
  public:
-  // `tenants` names them, so that their numbers may change between processes.
+  // Records store the names of `tenants`, as their indexes may change between processes.
   LedgerStore(spool::Index& index, std::vector<std::string> tenants);
 
   struct Recovery {
-    std::vector<Record> records;
-    std::vector<std::uint64_t> incarnations;  // the last one is this process's, written already
+    std::vector<LedgerRecord> records;
+    std::vector<std::uint64_t> incarnations;  // the last one is this process's own, already stored
     std::uint64_t unreadable{};
     bool usable{true};
   };
-  Recovery recover(std::uint64_t fresh_incarnation, std::int64_t now_unix_us);
+  Recovery recover(std::uint64_t new_incarnation, std::int64_t now_unix_us);
 
-  // All or nothing. After a failure that is none of space it is closed: what a disk has made of a write that
-  // failed is not known, and 'may have run' must not be built on it.
-  bool commit(const std::vector<Record>& records);
+  // Atomic. Any failure other than a lack of space closes the store: the state on disk after a failed write
+  // is not known, and a dispatch must not depend on it.
+  bool commit(const std::vector<LedgerRecord>& records);
   bool closed() const { return closed_; }
 
  private:
-  std::uint64_t place(const Record& record) const;
+  std::uint64_t index_key(const LedgerRecord& record) const;
   spool::Index& index_;
   std::vector<std::string> tenants_;
   bool closed_{false};
@@ -42,27 +42,27 @@
 
 class LedgerWriter {
  public:
-  using Done = std::function<void(const Record&, bool durable)>;
+  using RecordedCallback = std::function<void(const LedgerRecord&, bool durable)>;
   LedgerWriter(Strand strand, std::unique_ptr<spool::Index> index, std::vector<std::string> tenants,
-               Done done);
-  // Blocks: at the start.
-  LedgerStore::Recovery recover(std::uint64_t fresh, std::int64_t now_unix_us) {
-    return store_.recover(fresh, now_unix_us);
+               RecordedCallback on_recorded);
+  // Blocks; for startup only.
+  LedgerStore::Recovery recover(std::uint64_t new_incarnation, std::int64_t now_unix_us) {
+    return store_.recover(new_incarnation, now_unix_us);
   }
-  void write(Record record);
-  bool idle() const { return !busy_ && queue_.empty(); }
-  std::uint64_t commits() const { return commits_; }
-  std::uint64_t records() const { return records_; }
+  void write(LedgerRecord record);
+  bool idle() const { return !committing_ && pending_.empty(); }
+  std::uint64_t commit_count() const { return commit_count_; }
+  std::uint64_t record_count() const { return record_count_; }
 
  private:
-  void kick();
+  void start_commit();
   Strand strand_;
   std::unique_ptr<spool::Index> index_;
   LedgerStore store_;
-  Done done_;
-  std::vector<Record> queue_;
-  bool busy_{false};
-  std::uint64_t commits_{0}, records_{0};
+  RecordedCallback on_recorded_;
+  std::vector<LedgerRecord> pending_;
+  bool committing_{false};
+  std::uint64_t commit_count_{0}, record_count_{0};
   std::shared_ptr<LedgerWriter*> self_;
   Worker worker_;
 };
--- a/src/edge/logic/channel.h
+++ b/src/edge/logic/channel.h
@@ -1,8 +1,9 @@
-// Numbered messages to and from one peer, across any number of connections: each arrives once and in order.
+// Reliable, ordered, exactly-once delivery of numbered messages to and from one peer, across any number of
+// connections.
 //
-// Numbers are 32 bits and wrap (RFC 1982's order). What was sent is kept until the peer has acknowledged it;
-// a new connection goes on behind the last one that the peer says it has. The device and the edge run the
-// same code.
+// Sequence numbers are 32 bits and wrap (serial number arithmetic, RFC 1982). A message is kept until the
+// peer has acknowledged it; a new connection resumes after the last message that the peer reports to have.
+// The device and the edge run the same code.
 #pragma once
 
 #include <cstddef>
@@ -13,47 +14,49 @@
 
 using Seq = std::uint32_t;
 
-// a comes before b.
-constexpr bool before(Seq a, Seq b) { return static_cast<std::int32_t>(a - b) < 0; }
+// Whether a precedes b in serial number arithmetic.
+constexpr bool seq_before(Seq a, Seq b) { return static_cast<std::int32_t>(a - b) < 0; }
 
-enum class Heard { kNew, kAgain, kGap };
+enum class Receipt { kNew, kDuplicate, kGap };
 
-// What a number is of a peer's acknowledgement: one that runs ahead of what was sent is forged or confused.
-enum class Acked { kNews, kOld, kForged };
+// How a peer's cumulative acknowledgement relates to what was sent. One beyond the last message sent is
+// invalid: the peer forged it or is confused.
+enum class AckResult { kAdvanced, kStale, kInvalid };
 
 template <typename Body>
 class Channel {
  public:
-  // `first` is the number of the first message either way.
-  explicit Channel(Seq first = 1) : next_(first), cursor_(first), base_(first), expected_(first) {}
+  // `first` is the number of the first message in each direction.
+  explicit Channel(Seq first = 1) : next_(first), cursor_(first), base_(first), next_expected_(first) {}
 
-  // ---- Out ----
-  // Kept until it is acknowledged; transmitted once the cursor comes to it.
+  // ---- Sending ----
+  // Queues a message, which is kept until it is acknowledged, and returns its number.
   Seq push(Body body) {
     sent_.push_back(std::move(body));
     return next_++;
   }
-  // The next message to be transmitted on this connection, if there is one.
+  // The next message to transmit on this connection, or null.
   Body* peek() { return cursor_ == next_ ? nullptr : &at(cursor_); }
   Seq cursor() const { return cursor_; }
-  void transmitted() { ++cursor_; }
-  // A new connection: the peer has everything before `have`. False where that cannot be.
-  Acked resume(Seq have) {
-    const Acked acked = acknowledge(have);
-    if (acked != Acked::kForged) cursor_ = base_;
-    return acked;
+  void advance_cursor() { ++cursor_; }
+  // Starts on a new connection: acknowledges everything before `next_expected` and rewinds the cursor to the
+  // oldest unacknowledged message. An invalid acknowledgement changes nothing.
+  AckResult resume(Seq next_expected) {
+    const AckResult result = acknowledge(next_expected);
+    if (result != AckResult::kInvalid) cursor_ = base_;
+    return result;
   }
-  // Everything before `have` has arrived. What is dropped is given to `each`.
+  // Everything before `next_expected` has arrived. Calls `on_dropped` for every message before it is dropped.
   template <typename F>
-  Acked acknowledge(Seq have, F&& each) {
-    if (before(next_, have)) return Acked::kForged;
-    if (!before(base_, have)) return Acked::kOld;
-    while (base_ != have) {
-      each(base_, sent_[head_]);
+  AckResult acknowledge(Seq next_expected, F&& on_dropped) {
+    if (seq_before(next_, next_expected)) return AckResult::kInvalid;
+    if (!seq_before(base_, next_expected)) return AckResult::kStale;
+    while (base_ != next_expected) {
+      on_dropped(base_, sent_[head_]);
       sent_[head_++] = Body{};
       ++base_;
     }
-    // An idle session keeps no memory for what it once had in flight.
+    // Frees the buffer once it is empty: an idle session holds no memory for earlier messages.
     if (head_ == sent_.size()) {
       sent_ = {};
       head_ = 0;
@@ -61,35 +64,35 @@
       sent_.erase(sent_.begin(), sent_.begin() + static_cast<std::ptrdiff_t>(head_));
       head_ = 0;
     }
-    if (before(cursor_, base_)) cursor_ = base_;
-    return Acked::kNews;
+    if (seq_before(cursor_, base_)) cursor_ = base_;
+    return AckResult::kAdvanced;
   }
-  Acked acknowledge(Seq have) {
-    return acknowledge(have, [](Seq, Body&) {});
+  AckResult acknowledge(Seq next_expected) {
+    return acknowledge(next_expected, [](Seq, Body&) {});
   }
   std::size_t unacknowledged() const { return sent_.size() - head_; }
   std::size_t in_flight() const { return cursor_ - base_; }
   Seq base() const { return base_; }
   Seq next() const { return next_; }
   Body& at(Seq number) { return sent_[head_ + (number - base_)]; }
-  bool holds(Seq number) const { return !before(number, base_) && before(number, next_); }
+  bool holds(Seq number) const { return !seq_before(number, base_) && seq_before(number, next_); }
 
-  // ---- In ----
-  Heard heard(Seq number) {
-    if (number == expected_) {
-      ++expected_;
-      return Heard::kNew;
+  // ---- Receiving ----
+  Receipt receive(Seq number) {
+    if (number == next_expected_) {
+      ++next_expected_;
+      return Receipt::kNew;
     }
-    return before(number, expected_) ? Heard::kAgain : Heard::kGap;
+    return seq_before(number, next_expected_) ? Receipt::kDuplicate : Receipt::kGap;
   }
-  // What this side has: everything before.
-  Seq have() const { return expected_; }
+  // The cumulative acknowledgement: this side has everything before.
+  Seq next_expected() const { return next_expected_; }
 
  private:
   std::vector<Body> sent_;
-  std::size_t head_{0};  // of what is unacknowledged
+  std::size_t head_{0};  // index of the oldest unacknowledged message
   Seq next_, cursor_, base_;
-  Seq expected_;
+  Seq next_expected_;
 };
 
 }  // namespace steprail::edge
--- a/src/edge/logic/edge_logic.h
+++ b/src/edge/logic/edge_logic.h
@@ -1,8 +1,8 @@
-// What the edge decides: sessions that outlive their connections, who comes in, what is sent on which link
-// and when, and what a request that was sent before is answered.
+// The edge's decisions: sessions that outlive their connections, admission of devices, what is sent on which
+// connection and when, and how a request that was sent before is answered.
 //
-// No I/O, no clock, no randomness but a seed: events in, actions out, in order. Every front speaks to this
-// one object, so that a device may move between them within a session.
+// Deterministic, without I/O or a clock: events go in, actions come out in order, and random numbers come
+// from a seed. All fronts share one instance, so that a device may move between them within a session.
 #pragma once
 
 #include <algorithm>
@@ -30,198 +30,207 @@
 
 struct EdgeSettings {
   std::string home{"here"};
-  std::map<std::string, std::string> homes;  // the others: name -> address, to send their devices to
-  std::set<std::string> gone;                // homes that will never come back
-  std::vector<std::string> tenants;          // empty: none are told apart
-  std::map<std::string, bool> once;          // by verb: must not run twice; an unknown one is taken for that
-  Micros session_keep{600'000'000};          // after its last connection
-  Micros hello_wait{5'000'000};
-  Micros heartbeat_least{2'000'000}, heartbeat_most{30'000'000};
-  double suspicion{8};
-  std::size_t sessions_most{20'000}, sessions_tenant{20'000}, sessions_device{4};
-  std::size_t asks_most{32};        // of a session, open at a time
-  std::uint32_t window{128 << 10};  // bytes of rows on the way to a device
-  std::uint32_t page_least{4 << 10}, page_most{64 << 10};
-  spool::Marks memory{32u << 20, 0.9, 0.7, 0.5};  // rows on their way, of all devices
-  GateSettings gate;
+  // Other homes: name -> address to which their devices are redirected.
+  std::map<std::string, std::string> peer_homes;
+  std::set<std::string> retired_homes;  // homes that are gone for good: their devices start new sessions here
+  std::vector<std::string> tenants;     // empty: a single anonymous tenant
+  // By verb: whether it must not run twice; unknown verbs count as at-most-once.
+  std::map<std::string, bool> at_most_once;
+  Micros session_ttl{600'000'000};  // after the last connection closed
+  Micros hello_timeout{5'000'000};
+  Micros min_heartbeat{2'000'000}, max_heartbeat{30'000'000};
+  double phi_threshold{8};
+  std::size_t max_sessions{20'000}, max_sessions_per_tenant{20'000}, max_sessions_per_device{4};
+  std::size_t max_open_requests{32};  // per session
+  std::uint32_t window{128 << 10};    // bytes of rows in flight to one device
+  std::uint32_t min_page_bytes{4 << 10}, max_page_bytes{64 << 10};
+  spool::Marks memory{32u << 20, 0.9, 0.7, 0.5};  // rows in flight to all devices
+  AdmissionSettings admission;
   LedgerSettings ledger;
   bool operator==(const EdgeSettings&) const = default;
 };
 
 // ---- Actions ----
-struct ToDevice {
+struct SendFrame {
   ConnId conn{};
   Frame frame;
 };
 struct CloseConn {
   ConnId conn{};
 };
-struct Write {  // to the ledger's store; recorded() follows, in order
-  Record record;
+struct WriteRecord {  // to the ledger's store; on_recorded() follows for each, in order
+  LedgerRecord record;
 };
-struct Submit {
+struct SubmitRequest {
   RequestId request{};
   int tenant{};
   Body body;
 };
-struct Withdraw {  // its client wants it no more
+struct CancelRequest {  // interrupted by its device
   RequestId request{};
 };
-struct Fetch {  // rows(): exactly one answer
+struct FetchRows {  // answered by exactly one on_rows()
   RequestId request{};
   SessionId session{};
-  std::uint64_t row{};
-  std::uint32_t bytes{};
+  std::uint64_t first_row{};
+  std::uint32_t page_bytes{};
 };
-struct Release {  // all its rows have arrived, or nobody will come for them
+// The result is no longer needed: the device has the first `delivered_rows` of its rows, or, if 0, no session
+// will fetch it.
+struct ReleaseResult {
   RequestId request{};
-  std::uint64_t rows{};
+  std::uint64_t delivered_rows{};
 };
-using Act = std::variant<ToDevice, CloseConn, Write, Submit, Withdraw, Fetch, Release>;
+using EdgeAction =
+    std::variant<SendFrame, CloseConn, WriteRecord, SubmitRequest, CancelRequest, FetchRows, ReleaseResult>;
 
-struct Counts {
-  std::uint64_t sessions_begun{}, resumed{}, taken_over{}, expired{}, turned_away{}, forged{}, suspected{};
-  std::uint64_t requests{}, repeats{}, answers{}, unknowns{}, refused{};
+struct Counters {
+  std::uint64_t sessions_begun{}, resumed{}, taken_over{}, expired{}, rejected{}, forged{}, suspected{};
+  std::uint64_t requests{}, repeats{}, answers{}, unknown_outcomes{}, refused{};
 };
 
 class EdgeLogic {
  public:
-  // `incarnations` as LedgerLogic takes them; `first` is the number of the first message of a session, either
-  // way.
-  EdgeLogic(EdgeSettings settings, Sealer sealer, std::vector<std::uint64_t> incarnations, std::uint64_t seed,
-            Micros now, std::int64_t now_unix_us, Seq first = 1);
+  // `incarnations` as in LedgerLogic; `first_seq` is the first message's number in each direction.
+  EdgeLogic(EdgeSettings settings, TokenSigner token_signer, std::vector<std::uint64_t> incarnations,
+            std::uint64_t seed, Micros now, std::int64_t now_unix_us, Seq first_seq = 1);
 
   void reconfigure(const EdgeSettings& settings);
-  void recover(const Record& record, std::vector<Act>& out);
-
-  // ---- Links ----
-  void opened(ConnId conn, Micros now);
-  void heard(ConnId conn, const Frame& frame, Micros now, std::vector<Act>& out);
-  void closed(ConnId conn, Micros now, std::vector<Act>& out);
-  // The link can take more, or not for now.
-  void room(ConnId conn, bool room, Micros now, std::vector<Act>& out);
-  // A poll: the device has everything before `have`, and what was given to earlier polls may be lost.
-  void polled(ConnId conn, Seq have, Micros now, std::vector<Act>& out);
-
-  // ---- What was asked for has happened ----
-  void recorded(const Record& record, bool durable, Micros now, std::vector<Act>& out);
-  void answered(RequestId request, const Outcome& outcome, Micros now, std::vector<Act>& out);
+  void recover(const LedgerRecord& record, std::vector<EdgeAction>& out);
+
+  // ---- Connections ----
+  void on_open(ConnId conn, Micros now);
+  void on_frame(ConnId conn, const Frame& frame, Micros now, std::vector<EdgeAction>& out);
+  void on_close(ConnId conn, Micros now, std::vector<EdgeAction>& out);
+  // The connection can take more (`writable`), or its send queue is full.
+  void on_writable(ConnId conn, bool writable, Micros now, std::vector<EdgeAction>& out);
+  // A long poll: the device has everything before `next_expected`; responses to earlier polls may be lost.
+  void on_poll(ConnId conn, Seq next_expected, Micros now, std::vector<EdgeAction>& out);
+
+  // ---- Results of actions ----
+  void on_recorded(const LedgerRecord& record, bool durable, Micros now, std::vector<EdgeAction>& out);
+  void on_outcome(RequestId request, const Outcome& outcome, Micros now, std::vector<EdgeAction>& out);
   struct Rows {
     SessionId session{};
     RequestId request{};
-    std::uint64_t row{}, count{};
-    std::shared_ptr<const std::string> text;  // null: they are gone
+    std::uint64_t first_row{}, row_count{};
+    std::shared_ptr<const std::string> text;  // null: the rows are no longer stored
     bool last{};
   };
-  void rows(const Rows& rows, Micros now, std::vector<Act>& out);
+  void on_rows(const Rows& rows, Micros now, std::vector<EdgeAction>& out);
 
-  void drain(Micros now, std::vector<Act>& out);
-  void advance(Micros now, std::int64_t now_unix_us, std::vector<Act>& out);
-  std::optional<Micros> next(Micros now) const;
+  void drain(Micros now, std::vector<EdgeAction>& out);
+  void advance(Micros now, std::int64_t now_unix_us, std::vector<EdgeAction>& out);
+  std::optional<Micros> next_wakeup(Micros now) const;
 
-  // Nothing that was taken is unanswered, and nothing answered is on its way to a device that is there.
-  bool settled() const;
-  const Counts& counts() const { return counts_; }
+  // No request is unanswered, and no message to a connected device is unacknowledged.
+  bool quiescent() const;
+  const Counters& counters() const { return counters_; }
   const LedgerLogic& ledger() const { return ledger_; }
   const spool::Budget& memory() const { return memory_; }
-  std::size_t sessions() const { return sessions_.size(); }
-  std::size_t live() const;
-  std::size_t waiting() const { return gate_.waiting(); }
+  std::size_t session_count() const { return sessions_.size(); }
+  std::size_t connected_count() const;
+  std::size_t waiting_count() const { return admission_gate_.waiting_count(); }
 
  private:
-  struct Out {
+  struct OutgoingMessage {
     Body body;
-    RequestId request{};     // rows: of which result
-    std::uint32_t bytes{0};  // rows: text once it is known; it is fetched again to be sent again
-    std::uint32_t charged{0};
-    bool known{false};
-    Micros sent{0};
-    bool again{false};  // sent before, on another connection
+    RequestId request{};     // kRows: the request whose result they are of
+    std::uint32_t bytes{0};  // kRows: size of the text once known; the text is fetched again for a resend
+    std::uint32_t charged_bytes{0};
+    bool size_known{false};
+    Micros sent_at{0};
+    bool resent{false};  // sent before on another connection, so it gives no RTT sample
   };
   struct Delivery {
     RequestId request{};
-    std::uint64_t key{}, next{}, rows{};
+    std::uint64_t key{}, next_row{}, row_count{};
   };
   struct Session {
     SessionId id{};
     int tenant{};
-    const std::string* device{};  // where by_device_ has it
-    ConnId conn{0};               // 0: detached
-    bool room{false};
-    Channel<Out> channel;
-    RoundTrip trip;
-    Suspicion suspicion;
-    PageSize page;
-    std::vector<std::uint64_t> asks;  // keys that wait for their answer, or for their rows' arrival
+    const std::string* device{};  // points to the key in sessions_by_device_
+    ConnId conn{0};               // 0: not connected
+    bool writable{false};
+    Channel<OutgoingMessage> channel;
+    RttEstimator rtt;
+    FailureDetector failure_detector;
+    PageSizer page_sizer;
+    std::vector<std::uint64_t> open_keys;  // requests whose answer or rows are not all acknowledged
     std::vector<Delivery> deliveries;
-    std::vector<RequestId> reading;  // results whose rows have not all arrived
-    bool asks_for(std::uint64_t key) const { return std::find(asks.begin(), asks.end(), key) != asks.end(); }
-    void ask(std::uint64_t key) {
-      if (!asks_for(key)) asks.push_back(key);
+    std::vector<RequestId> unread_results;  // results whose rows are not all acknowledged
+    bool has_open_key(std::uint64_t key) const {
+      return std::find(open_keys.begin(), open_keys.end(), key) != open_keys.end();
     }
-    std::uint32_t in_flight{0};
-    bool fetching{false}, starving{false}, polling{false};
-    Micros heard{0}, ping_sent{0}, expires{0};
-    std::uint64_t ping{0};
+    void add_open_key(std::uint64_t key) {
+      if (!has_open_key(key)) open_keys.push_back(key);
+    }
+    std::uint32_t in_flight_bytes{0};
+    bool fetching{false}, awaiting_memory{false}, long_polling{false};
+    Micros last_heard_at{0}, ping_sent_at{0}, expires_at{0};
+    std::uint64_t ping_nonce{0};
     TimingWheel::Timer timer{TimingWheel::kNone};
-    explicit Session(Seq first, const EdgeSettings& s) : channel(first), page(s.page_least, s.page_most) {}
+    explicit Session(Seq first_seq, const EdgeSettings& settings)
+        : channel(first_seq), page_sizer(settings.min_page_bytes, settings.max_page_bytes) {}
   };
   struct Conn {
-    SessionId session{0};          // 0: it has not said who it is, or waits to come in
-    std::unique_ptr<Frame> hello;  // while it waits: a frame is large, and an idle session has none
+    SessionId session{0};  // 0: no hello yet, or waiting for admission
+    std::unique_ptr<Frame>
+        hello;  // only while waiting: a frame is large, and an idle session should hold none
     TimingWheel::Timer timer{TimingWheel::kNone};
   };
-  struct Ask {  // a request at the coordinator, or on its way there
-    Key key;
-    Body body;  // until it is dispatched
+  struct PendingRequest {  // a request at the coordinator, or about to be submitted
+    RequestKey key;
+    Body body;  // until it is submitted
     SessionId session{0};
-    bool once{};
+    bool at_most_once{};
   };
 
-  void admit(Micros now, std::vector<Act>& out);
-  void come_in(ConnId conn, Micros now, std::vector<Act>& out);
-  Session* begin(const Frame& hello, int tenant, Micros now, std::vector<Act>& out, std::string& why);
+  void admit(Micros now, std::vector<EdgeAction>& out);
+  void handle_hello(ConnId conn, Micros now, std::vector<EdgeAction>& out);
+  Session* create_session(const Frame& hello, int tenant, Micros now, std::vector<EdgeAction>& out,
+                          std::string& code);
   void attach(Session& session, ConnId conn, const Frame& hello, bool resumed, Micros now,
-              std::vector<Act>& out);
+              std::vector<EdgeAction>& out);
   void detach(Session& session, Micros now);
-  void expire(Session& session, std::vector<Act>& out);
-  void turn_away(ConnId conn, const char* code, const char* text, bool again, std::vector<Act>& out);
-  void message(Session& session, const Frame& frame, Micros now, std::vector<Act>& out);
-  bool acknowledged(Session& session, Seq have, Micros now, std::vector<Act>& out);
-  void request(Session& session, const Body& body, Micros now, std::vector<Act>& out);
-  void interrupt(Session& session, std::uint64_t key, Micros now, std::vector<Act>& out);
-  void refuse(Session& session, std::uint64_t key, const char* code, bool again, Micros later);
-  void tell(Session& session, const Key& key, const Outcome& outcome);
-  void finish(RequestId request, const Outcome& outcome, std::vector<Act>& out);
-  void pump(Session& session, Micros now, std::vector<Act>& out);
-  void transmit(Session& session, Out& out, Micros now, std::vector<Act>& acts);
-  void free_flight(Session& session, Out& out);
-  void ground(Session& session);
-  void stop_reading(Session& session, RequestId request, std::uint64_t rows, std::vector<Act>& out);
-  void feed_starving(Micros now, std::vector<Act>& out);
-  void watch(Session& session, Micros now);
-  Micros heartbeat(const Session& session) const;
-  bool once(const std::string& verb) const;
-  Session* of(ConnId conn);
+  void expire(Session& session, std::vector<EdgeAction>& out);
+  void reject(ConnId conn, const char* code, const char* text, bool retry_safe, std::vector<EdgeAction>& out);
+  void handle_message(Session& session, const Frame& frame, Micros now, std::vector<EdgeAction>& out);
+  bool process_ack(Session& session, Seq next_expected, Micros now, std::vector<EdgeAction>& out);
+  void handle_request(Session& session, const Body& body, Micros now, std::vector<EdgeAction>& out);
+  void handle_interrupt(Session& session, std::uint64_t key, Micros now, std::vector<EdgeAction>& out);
+  void refuse(Session& session, std::uint64_t key, const char* code, bool retry_safe, Micros retry_after);
+  void send_outcome(Session& session, const RequestKey& key, const Outcome& outcome);
+  void complete_request(RequestId request, const Outcome& outcome, std::vector<EdgeAction>& out);
+  void send_pending(Session& session, Micros now, std::vector<EdgeAction>& out);
+  void transmit(Session& session, OutgoingMessage& outgoing, Micros now, std::vector<EdgeAction>& actions);
+  void release_in_flight(Session& session, OutgoingMessage& message);
+  void rewind_unacknowledged(Session& session);
+  void remove_reader(Session& session, RequestId request, std::uint64_t rows, std::vector<EdgeAction>& out);
+  void resume_memory_waiters(Micros now, std::vector<EdgeAction>& out);
+  void rearm_timer(Session& session, Micros now);
+  Micros heartbeat_interval(const Session& session) const;
+  bool is_at_most_once(const std::string& verb) const;
+  Session* session_of(ConnId conn);
 
   EdgeSettings settings_;
-  Sealer sealer_;
+  TokenSigner token_signer_;
   pcg64 random_;
-  Seq first_;
-  Gate gate_;
+  Seq first_seq_;
+  AdmissionGate admission_gate_;
   LedgerLogic ledger_;
   spool::Budget memory_;
   TimingWheel wheel_;
   std::unordered_map<ConnId, Conn> conns_;
   std::unordered_map<SessionId, Session> sessions_;
-  std::map<std::pair<int, std::string>, std::vector<SessionId>> by_device_;
-  std::vector<std::size_t> by_tenant_;
-  std::unordered_map<RequestId, Ask> asks_;
-  std::map<Key, RequestId> running_;
-  std::deque<SessionId> starving_;
-  std::unordered_map<RequestId, std::size_t> readers_;  // sessions that a result's rows go to
+  std::map<std::pair<int, std::string>, std::vector<SessionId>> sessions_by_device_;
+  std::vector<std::size_t> session_count_by_tenant_;
+  std::unordered_map<RequestId, PendingRequest> pending_requests_;
+  std::map<RequestKey, RequestId> pending_by_key_;
+  std::deque<SessionId> memory_waiters_;
+  std::unordered_map<RequestId, std::size_t> reader_counts_;  // number of sessions that read a result
   bool draining_{false};
-  Counts counts_;
+  Counters counters_;
 };
 
 }  // namespace steprail::edge
--- a/src/edge/logic/gate.h
+++ b/src/edge/logic/gate.h
@@ -1,6 +1,6 @@
-// Who comes in when many come at once: a set rate (GCRA), and a waiting room in the order of deadlines. Those
-// for whom there is no room are told when to come back, spread out so that they do not all come at once
-// again.
+// Admission of devices when many connect at once: a rate limit (GCRA) and a bounded queue in order of
+// deadlines. Devices that do not fit are told when to retry, with jitter so that they do not all return at
+// the same time.
 #pragma once
 
 #include <chrono>
@@ -15,92 +15,93 @@
 
 using Micros = std::chrono::microseconds;
 
-struct GateSettings {
-  double rate{500};  // a second
+struct AdmissionSettings {
+  double rate_per_second{500};  // admissions
   double burst{100};
-  std::size_t waiting_most{1000};
-  Micros wait_most{3'000'000};  // in the waiting room
-  bool operator==(const GateSettings&) const = default;
+  std::size_t max_waiting{1000};
+  Micros max_wait{3'000'000};  // in the queue
+  bool operator==(const AdmissionSettings&) const = default;
 };
 
-class Gate {
+class AdmissionGate {
  public:
-  Gate(GateSettings settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
-  void set(const GateSettings& settings) { settings_ = settings; }
+  AdmissionGate(AdmissionSettings settings, std::uint64_t seed) : settings_(settings), random_(seed) {}
+  void set_settings(const AdmissionSettings& settings) { settings_ = settings; }
 
-  struct Turned {
-    std::uint64_t who{};
-    Micros later{0};
+  struct Deferred {
+    std::uint64_t id{};
+    Micros retry_after{0};
   };
-  // One more who would come in; the nearer the deadline, the sooner. `turned` are those for whom there is no
-  // room.
-  void arrive(std::uint64_t who, Micros deadline, Micros now, std::vector<Turned>& turned) {
-    const auto at = waiting_.emplace(deadline, Waiting{who, now});
-    places_[who] = at;
-    if (waiting_.size() <= settings_.waiting_most) return;
+  // Queues a device; earlier deadlines are admitted first. If the queue is full, the entry with the latest
+  // deadline goes to `deferred`.
+  void enqueue(std::uint64_t id, Micros deadline, Micros now, std::vector<Deferred>& deferred) {
+    const auto at = waiting_.emplace(deadline, Waiting{id, now});
+    positions_[id] = at;
+    if (waiting_.size() <= settings_.max_waiting) return;
     const auto last = std::prev(waiting_.end());
-    turned.push_back({last->second.who, later()});
-    leave(last);
+    deferred.push_back({last->second.id, next_retry_after()});
+    erase_entry(last);
   }
-  void gone(std::uint64_t who) {
-    const auto at = places_.find(who);
-    if (at != places_.end()) leave(at->second);
+  void remove(std::uint64_t id) {
+    const auto at = positions_.find(id);
+    if (at != positions_.end()) erase_entry(at->second);
   }
-  // Those whose turn it is now, and those who have waited for too long.
-  void admit(Micros now, std::vector<std::uint64_t>& in, std::vector<Turned>& turned) {
+  // Admits as many as the rate allows now, and defers those that have waited longer than max_wait.
+  void admit(Micros now, std::vector<std::uint64_t>& admitted, std::vector<Deferred>& deferred) {
     while (!waiting_.empty() && conforms(now)) {
-      in.push_back(waiting_.begin()->second.who);
-      leave(waiting_.begin());
+      admitted.push_back(waiting_.begin()->second.id);
+      erase_entry(waiting_.begin());
     }
     while (!waiting_.empty()) {
-      // The one farthest from its deadline has waited at least as long as any that is kept for later.
+      // Only the entry with the latest deadline is tested: it is the one that would be admitted last.
       const auto last = std::prev(waiting_.end());
-      if (now - last->second.since <= settings_.wait_most) break;
-      turned.push_back({last->second.who, later()});
-      leave(last);
+      if (now - last->second.waiting_since <= settings_.max_wait) break;
+      deferred.push_back({last->second.id, next_retry_after()});
+      erase_entry(last);
     }
   }
-  std::optional<Micros> next(Micros now) const {
+  std::optional<Micros> next_wakeup(Micros now) const {
     if (waiting_.empty()) return std::nullopt;
-    return std::max(now + Micros{1000}, arrival_ - tolerance());
+    return std::max(now + Micros{1000}, theoretical_arrival_ - tolerance());
   }
-  std::size_t waiting() const { return waiting_.size(); }
+  std::size_t waiting_count() const { return waiting_.size(); }
 
  private:
   struct Waiting {
-    std::uint64_t who{};
-    Micros since{0};
+    std::uint64_t id{};
+    Micros waiting_since{0};
   };
   using Queue = std::multimap<Micros, Waiting>;
-  Micros interval() const { return Micros{static_cast<std::int64_t>(1e6 / settings_.rate)}; }
+  Micros interval() const { return Micros{static_cast<std::int64_t>(1e6 / settings_.rate_per_second)}; }
   Micros tolerance() const {
-    return Micros{static_cast<std::int64_t>(1e6 / settings_.rate * std::max(0.0, settings_.burst - 1))};
+    return Micros{
+        static_cast<std::int64_t>(1e6 / settings_.rate_per_second * std::max(0.0, settings_.burst - 1))};
   }
-  // GCRA: the theoretical arrival time may run ahead of now by the tolerance, no farther.
+  // GCRA: the theoretical arrival time may be ahead of now by the tolerance at most.
   bool conforms(Micros now) {
-    const Micros theoretical = std::max(arrival_, now);
+    const Micros theoretical = std::max(theoretical_arrival_, now);
     if (theoretical - now > tolerance()) return false;
-    arrival_ = theoretical + interval();
+    theoretical_arrival_ = theoretical + interval();
     return true;
   }
-  // Behind all who wait already and those sent away before, with jitter over as long again.
-  Micros later() {
-    sent_away_ = sent_away_ + 1;
-    const double ahead = static_cast<double>(waiting_.size()) / settings_.rate * 1e6;
-    const double jitter = ahead * static_cast<double>(random_()) / 4294967296.0;
-    return Micros{static_cast<std::int64_t>(ahead + jitter) + 100'000};
+  // The time to admit all that are queued, plus a random jitter of up to as long again.
+  Micros next_retry_after() {
+    deferred_count_ = deferred_count_ + 1;
+    const double queue_us = static_cast<double>(waiting_.size()) / settings_.rate_per_second * 1e6;
+    const double jitter_us = queue_us * static_cast<double>(random_()) / 4294967296.0;
+    return Micros{static_cast<std::int64_t>(queue_us + jitter_us) + 100'000};
   }
-  void leave(Queue::iterator at) {
-    places_.erase(at->second.who);
+  void erase_entry(Queue::iterator at) {
+    positions_.erase(at->second.id);
     waiting_.erase(at);
   }
 
-  GateSettings settings_;
+  AdmissionSettings settings_;
   pcg32 random_;
   Queue waiting_;
-  std::unordered_map<std::uint64_t, Queue::iterator> places_;
-  Micros arrival_{0};
-  std::uint64_t sent_away_{0};
+  std::unordered_map<std::uint64_t, Queue::iterator> positions_;
+  Micros theoretical_arrival_{0};
+  std::uint64_t deferred_count_{0};
 };
 
 }  // namespace steprail::edge
--- a/src/edge/logic/ledger_logic.h
+++ b/src/edge/logic/ledger_logic.h
@@ -1,10 +1,9 @@
-// The outcome ledger: what has become of a request that a device may send again.
+// The outcome ledger: the state of each request that a device may send again.
 //
-// One entry a (tenant, device, key). A `load` is entered durably before it is dispatched and its outcome
-// durably before it is told, so that after any crash one of three things is known: it was never dispatched
-// (it may run), its outcome, or that nobody knows (and nobody will: 'unknown' is final as well). No I/O: what
-// has to be written comes out as records, and the ledger is told when they are on the disk, or that they
-// never will be.
+// One entry per (tenant, device, key). For a `load` the ledger writes a record before it is dispatched and
+// its outcome before it is reported, so that after any crash it is known that the load was never dispatched
+// (and may run), or its outcome, or that the outcome is unknown, which is final as well. No I/O: the ledger
+// returns the records to write, and its caller reports when they are durable or that writing them failed.
 #pragma once
 
 #include <chrono>
@@ -24,126 +23,131 @@
 
 using Micros = std::chrono::microseconds;
 
-struct Key {
+struct RequestKey {
   int tenant{};
   std::string device;
-  std::uint64_t number{};  // the device's own: it counts up, and no request has that of another
-  bool operator==(const Key&) const = default;
-  auto operator<=>(const Key&) const = default;
+  std::uint64_t number{};  // assigned by the device: increasing and never reused
+  bool operator==(const RequestKey&) const = default;
+  auto operator<=>(const RequestKey&) const = default;
 };
 
-enum class Fate : std::uint8_t {
-  kTaken,       // its record is on the way to the disk; it has not been dispatched
-  kDispatched,  // it may have run
-  kAnswered,    // the outcome is known, and on the way to the disk
-  kTold,        // the outcome is durable
-  kUnknown      // nobody knows, nor ever will
+// The names are written to logs and the numbers to disk.
+enum class EntryState : std::uint8_t {
+  kTaken,       // its record is being written; not dispatched yet
+  kDispatched,  // may have run
+  kAnswered,    // the outcome is known, and its record is being written
+  kTold,        // the outcome is durable and may be reported
+  kUnknown      // the outcome is unknown, for good
 };
 
-// What a device is told in the end.
+// The final result of a request, as reported to the device.
 struct Outcome {
-  enum class How : std::uint8_t { kServed, kRefused, kFailed, kUnknown } how{How::kFailed};
-  bool again{false};        // sending it anew, under a new key, is harmless
-  Micros later{0};          // refused: when
-  std::uint64_t request{};  // served: the spool's result
+  enum class Status : std::uint8_t { kServed, kRefused, kFailed, kUnknown } status{Status::kFailed};
+  bool retry_safe{false};     // the device may safely send the request again under a new key
+  Micros retry_after{0};      // kRefused: delay before the retry
+  std::uint64_t result_id{};  // kServed: id of the result in the spool
   std::uint64_t rows{}, bytes{};
   bool operator==(const Outcome&) const = default;
 };
 
-// What goes to the disk: one value a key, the newest one counts. A mark says below which number a device's
-// keys are too old to be known.
-struct Record {
-  Key key;
-  Fate fate{};
+// A record for the store: one value per key, the latest replaces the others. A watermark holds the highest
+// number of a device whose entry has expired: keys up to it are too old.
+struct LedgerRecord {
+  RequestKey key;
+  EntryState state{};
   std::uint64_t digest{};
   std::int64_t expires_unix_us{};
   Outcome outcome;
-  bool mark{false};
+  bool watermark{false};
   bool erase{false};
 };
 
 struct LedgerSettings {
   bool durable{false};
-  Micros keep{24ll * 3600 * 1'000'000};  // how long the entry of what must not run twice lives
-  Micros keep_repeatable{60'000'000};    // of the others: longer than any is under way
-  std::size_t entries_most{1'000'000};
+  Micros retention{24ll * 3600 * 1'000'000};  // of entries of at-most-once requests
+  Micros repeatable_retention{60'000'000};    // of all other entries: longer than any request is in progress
+  std::size_t max_entries{1'000'000};
   bool operator==(const LedgerSettings&) const = default;
 };
 
 class LedgerLogic {
  public:
-  // `incarnations`: those of this home whose records are all here; the last one is this process's.
+  // `incarnations`: those of this home whose records are complete here; the last one is this process's own.
   LedgerLogic(LedgerSettings settings, std::vector<std::uint64_t> incarnations, Micros now,
               std::int64_t now_unix_us);
 
-  // At the start, in any order: what the store holds. What was dispatched and has no outcome becomes unknown,
-  // and the records that say so come out.
-  void recover(const Record& record, std::vector<Record>& out);
-
-  enum class Answer {
-    kRun,      // enter it: record it if it must not run twice, then dispatch
-    kSame,     // it is under way
-    kOutcome,  // here is what has become of it
-    kOther,    // the key was another statement's
-    kTooOld,   // the key's entry may have lived and gone
-    kFull      // no room for another entry
+  // Restores a stored record at startup, in any order. A request that was dispatched and has no outcome
+  // becomes unknown; the record of that is added to `out`.
+  void recover(const LedgerRecord& record, std::vector<LedgerRecord>& out);
+
+  enum class Lookup {
+    kRun,             // new: call add_entry() and dispatch it
+    kInProgress,      // the same request is in progress
+    kOutcome,         // its outcome is final
+    kOtherStatement,  // the key was used for another statement
+    kTooOld,          // the key's entry may have existed and expired
+    kFull             // no room for another entry
   };
-  // `first`: the incarnation under which the device first sent it. `once`: it must not run twice.
-  Answer look(const Key& key, std::uint64_t digest, bool once, std::uint64_t first, Outcome& outcome);
-  // Enters what look() let run. True where a record must be durable before it is dispatched.
-  bool take(const Key& key, std::uint64_t digest, bool once, std::uint64_t request, std::vector<Record>& out);
-  // That record is on the disk: dispatch it now. False where the entry has ended meanwhile.
-  bool dispatched(const Key& key);
-  // It will never be on the disk: the request was not dispatched and is not. `outcome` is what is told of it,
-  // to all who ask while this process lives: one that crosses it must not be run after all.
-  void not_recorded(const Key& key, const Outcome& outcome);
-  // The request's answer. True where it must be durable before it is told.
-  bool answered(const Key& key, const Outcome& outcome, std::vector<Record>& out);
-  // The outcome's record is on the disk, or never will be: then the outcome is unknown, once and for good.
-  const Outcome* told(const Key& key, bool durable);
-
-  void advance(Micros now, std::int64_t now_unix_us, std::vector<Record>& out);
-  std::optional<Micros> next() const { return wheel_.next(); }
-  std::optional<Fate> fate(const Key& key) const;
-  std::uint64_t request(const Key& key) const;
+  // `first_incarnation`: the one to which the device first sent the request. `at_most_once`: the request must
+  // not run twice.
+  Lookup lookup(const RequestKey& key, std::uint64_t digest, bool at_most_once,
+                std::uint64_t first_incarnation, Outcome& outcome);
+  // Adds an entry after lookup() returned kRun. True if its record must be durable before the dispatch.
+  bool add_entry(const RequestKey& key, std::uint64_t digest, bool at_most_once, std::uint64_t request,
+                 std::vector<LedgerRecord>& out);
+  // That record is durable: the request is dispatched now. False if the entry has ended meanwhile.
+  bool mark_dispatched(const RequestKey& key);
+  // Writing that record failed: the request was not and will not be dispatched. While this process lives,
+  // lookup() returns `outcome`, so that a retry which crosses the refusal does not run after all.
+  void refuse_unrecorded(const RequestKey& key, const Outcome& outcome);
+  // Sets the request's outcome. True if it must be durable before it is reported.
+  bool set_outcome(const RequestKey& key, const Outcome& outcome, std::vector<LedgerRecord>& out);
+  // The outcome's record is durable; or writing it failed, and the outcome is unknown for good. Returns the
+  // final outcome.
+  const Outcome* finalize_outcome(const RequestKey& key, bool durable);
+
+  void advance(Micros now, std::int64_t now_unix_us, std::vector<LedgerRecord>& out);
+  std::optional<Micros> next_wakeup() const { return wheel_.next(); }
+  std::optional<EntryState> state_of(const RequestKey& key) const;
+  std::uint64_t request_of(const RequestKey& key) const;
   std::uint64_t incarnation() const { return incarnations_.back(); }
   std::size_t size() const { return entries_.size(); }
 
  private:
   struct Entry {
-    Fate fate{Fate::kTaken};
+    EntryState state{EntryState::kTaken};
     std::uint64_t digest{};
-    bool once{};
+    bool at_most_once{};
     std::uint64_t request{};
     Outcome outcome;
     std::int64_t expires_unix_us{};
   };
-  Record record(const Key& key, const Entry& entry) const;
-  void move(Entry& entry, Fate to);
+  LedgerRecord make_record(const RequestKey& key, const Entry& entry) const;
+  void set_state(Entry& entry, EntryState to);
 
   LedgerSettings settings_;
   std::vector<std::uint64_t> incarnations_;
-  std::int64_t unix_us_;
-  std::map<Key, Entry> entries_;
-  std::map<std::pair<int, std::string>, std::uint64_t> marks_;
+  std::int64_t now_unix_us_;
+  std::map<RequestKey, Entry> entries_;
+  std::map<std::pair<int, std::string>, std::uint64_t> watermarks_;
   TimingWheel wheel_;
-  std::unordered_map<std::uint64_t, Key> timers_;
-  std::uint64_t last_timer_{0};
+  std::unordered_map<std::uint64_t, RequestKey> key_by_timer_;
+  std::uint64_t last_timer_id_{0};
 };
 
-constexpr const char* name(Fate fate) {
+constexpr const char* name(EntryState state) {
   constexpr const char* names[] = {"taken", "dispatched", "answered", "told", "unknown"};
-  return names[static_cast<int>(fate)];
+  return names[static_cast<int>(state)];
 }
-// Which may follow which; unknown and told are final.
-constexpr bool may_follow(Fate from, Fate to) {
+// The allowed state transitions; kTold and kUnknown are final.
+constexpr bool may_follow(EntryState from, EntryState to) {
   switch (from) {
-    case Fate::kTaken:
-      return to == Fate::kDispatched || to == Fate::kAnswered;
-    case Fate::kDispatched:
-      return to == Fate::kAnswered || to == Fate::kUnknown;
-    case Fate::kAnswered:
-      return to == Fate::kTold || to == Fate::kUnknown;
+    case EntryState::kTaken:
+      return to == EntryState::kDispatched || to == EntryState::kAnswered;
+    case EntryState::kDispatched:
+      return to == EntryState::kAnswered || to == EntryState::kUnknown;
+    case EntryState::kAnswered:
+      return to == EntryState::kTold || to == EntryState::kUnknown;
     default:
       return false;
   }
--- a/src/edge/logic/poll_links.h
+++ b/src/edge/logic/poll_links.h
@@ -1,7 +1,6 @@
-// Which long-poll links are kept. A link has no connection whose end would be heard of, so that it goes by
-// rules: the number of links is bounded, and where all places are taken one gives way to a newcomer: one that
-// has ended first, then the one heard of longest ago. One whose poll waits here is in use and gives way to
-// nobody.
+// Tracks long-poll links and chooses which to evict. A link has no connection whose end would be noticed, so
+// the number of links is bounded: when all are taken, a new link evicts closed links first, then the one that
+// was heard from longest ago. A link with a poll waiting is in use and is never evicted.
 #pragma once
 
 #include <chrono>
@@ -19,44 +18,44 @@
 
 class PollLinks {
  public:
-  // A new link; its first poll is its hello.
-  void open(const std::string& name, Micros now) { place(name, State{now, false, false}); }
-  void heard(const std::string& name, Micros now) {
-    change(name, [now](State& state) { state.heard = now; });
+  // Adds a link; its first poll carries its hello.
+  void open(const std::string& name, Micros now) { insert(name, State{now, false, false}); }
+  void touch(const std::string& name, Micros now) {
+    update(name, [now](State& state) { state.last_heard_at = now; });
   }
-  void waits(const std::string& name, bool waits) {
-    change(name, [waits](State& state) { state.waits = waits; });
+  void set_polling(const std::string& name, bool polling) {
+    update(name, [polling](State& state) { state.polling = polling; });
   }
-  // The edge has closed it; what it was last told may still be fetched, while there is room.
-  void end(const std::string& name) {
-    change(name, [](State& state) { state.ended = true; });
+  // The edge has closed the link. Its last frames may still be fetched until it is evicted.
+  void mark_closed(const std::string& name) {
+    update(name, [](State& state) { state.closed = true; });
   }
   void erase(const std::string& name) {
     const auto at = states_.find(name);
     if (at == states_.end()) return;
-    idle_.erase({rank(at->second), at->second.heard, name});
+    idle_.erase({eviction_rank(at->second), at->second.last_heard_at, name});
     states_.erase(at);
   }
 
-  // Who has to go so that one more fits among `most`. Empty where nobody gives way and there is no room.
-  struct Room {
-    bool is{};
-    std::vector<std::string> gives_way{};
+  // Which links to evict so that one more fits within `max_links`; evicts none if there is no room even so.
+  struct EvictionPlan {
+    bool has_room{};
+    std::vector<std::string> evicted{};
   };
-  Room room(std::size_t most) const {
-    Room room;
+  EvictionPlan plan_eviction(std::size_t max_links) const {
+    EvictionPlan plan;
     std::size_t size = states_.size();
-    for (auto at = idle_.begin(); size >= most && at != idle_.end(); ++at, --size)
-      room.gives_way.push_back(at->name);
-    room.is = size < most;
-    if (!room.is) room.gives_way.clear();
-    return room;
+    for (auto at = idle_.begin(); size >= max_links && at != idle_.end(); ++at, --size)
+      plan.evicted.push_back(at->name);
+    plan.has_room = size < max_links;
+    if (!plan.has_room) plan.evicted.clear();
+    return plan;
   }
-  // Those not heard of for so long, whether or not a poll of theirs seems to wait.
-  std::vector<std::string> silent(Micros now, Micros keep) const {
+  // Links not heard from for longer than `max_silence`, even if a poll of theirs seems to wait.
+  std::vector<std::string> silent_longer_than(Micros now, Micros max_silence) const {
     std::vector<std::string> names;
     for (const auto& [name, state] : states_) {
-      if (now - state.heard > keep) names.push_back(name);
+      if (now - state.last_heard_at > max_silence) names.push_back(name);
     }
     return names;
   }
@@ -64,32 +63,32 @@
 
  private:
   struct State {
-    Micros heard{0};
-    bool waits{}, ended{};
+    Micros last_heard_at{0};
+    bool polling{}, closed{};
   };
   struct Idle {
     int rank{};
-    Micros heard{0};
+    Micros last_heard_at{0};
     std::string name;
     auto operator<=>(const Idle&) const = default;
   };
-  static int rank(const State& state) { return state.ended ? 0 : 1; }
-  void place(const std::string& name, const State& state) {
+  static int eviction_rank(const State& state) { return state.closed ? 0 : 1; }
+  void insert(const std::string& name, const State& state) {
     states_[name] = state;
-    if (!state.waits) idle_.insert({rank(state), state.heard, name});
+    if (!state.polling) idle_.insert({eviction_rank(state), state.last_heard_at, name});
   }
   template <typename F>
-  void change(const std::string& name, F&& how) {
+  void update(const std::string& name, F&& modify) {
     const auto at = states_.find(name);
     if (at == states_.end()) return;
     State state = at->second;
-    idle_.erase({rank(state), state.heard, name});
-    how(state);
-    place(name, state);
+    idle_.erase({eviction_rank(state), state.last_heard_at, name});
+    modify(state);
+    insert(name, state);
   }
 
   std::unordered_map<std::string, State> states_;
-  std::set<Idle> idle_;  // in the order in which they give way
+  std::set<Idle> idle_;  // in eviction order
 };
 
 }  // namespace steprail::edge
--- a/src/edge/logic/token.cpp
+++ b/src/edge/logic/token.cpp
@@ -9,32 +9,33 @@
 
 using nlohmann::json;
 
-static_assert(sizeof(Sealer::Secret) == crypto_auth_KEYBYTES);
+static_assert(sizeof(TokenSigner::Secret) == crypto_auth_KEYBYTES);
 
-std::string Sealer::seal(const Token& token) const {
+std::string TokenSigner::sign(const Token& token) const {
   const auto body = json::to_cbor(
       json::array({1, token.home, token.incarnation, token.session, token.tenant, token.device}));
-  std::vector<unsigned char> whole(crypto_auth_BYTES);
-  whole.insert(whole.end(), body.begin(), body.end());
-  crypto_auth(whole.data(), body.data(), body.size(), secret_.data());
-  std::string text(sodium_base64_encoded_len(whole.size(), sodium_base64_VARIANT_URLSAFE_NO_PADDING), '\0');
-  sodium_bin2base64(text.data(), text.size(), whole.data(), whole.size(),
+  std::vector<unsigned char> signed_bytes(crypto_auth_BYTES);
+  signed_bytes.insert(signed_bytes.end(), body.begin(), body.end());
+  crypto_auth(signed_bytes.data(), body.data(), body.size(), secret_.data());
+  std::string text(sodium_base64_encoded_len(signed_bytes.size(), sodium_base64_VARIANT_URLSAFE_NO_PADDING),
+                   '\0');
+  sodium_bin2base64(text.data(), text.size(), signed_bytes.data(), signed_bytes.size(),
                     sodium_base64_VARIANT_URLSAFE_NO_PADDING);
-  text.pop_back();  // its closing zero
+  text.pop_back();  // the terminating zero
   return text;
 }
 
-std::optional<Token> Sealer::open(std::string_view text) const {
+std::optional<Token> TokenSigner::verify(std::string_view text) const {
   if (text.empty()) return std::nullopt;
-  std::vector<unsigned char> whole(text.size());
+  std::vector<unsigned char> signed_bytes(text.size());
   std::size_t size = 0;
   const char* end = nullptr;
-  if (sodium_base642bin(whole.data(), whole.size(), text.data(), text.size(), nullptr, &size, &end,
-                        sodium_base64_VARIANT_URLSAFE_NO_PADDING) != 0 ||
+  if (sodium_base642bin(signed_bytes.data(), signed_bytes.size(), text.data(), text.size(), nullptr, &size,
+                        &end, sodium_base64_VARIANT_URLSAFE_NO_PADDING) != 0 ||
       end != text.data() + text.size() || size <= crypto_auth_BYTES)
     return std::nullopt;
-  const unsigned char* body = whole.data() + crypto_auth_BYTES;
-  if (crypto_auth_verify(whole.data(), body, size - crypto_auth_BYTES, secret_.data()) != 0)
+  const unsigned char* body = signed_bytes.data() + crypto_auth_BYTES;
+  if (crypto_auth_verify(signed_bytes.data(), body, size - crypto_auth_BYTES, secret_.data()) != 0)
     return std::nullopt;
   try {
     const json value = json::from_cbor(body, body + (size - crypto_auth_BYTES));
--- a/src/edge/logic/token.h
+++ b/src/edge/logic/token.h
@@ -1,5 +1,5 @@
-// The session token: what a device shows to go on with its session, sealed so that nobody can make or change
-// one.
+// The session token: what a device presents to resume its session, authenticated with a secret key so that it
+// cannot be forged or changed.
 #pragma once
 
 #include <array>
@@ -11,21 +11,21 @@
 namespace steprail::edge {
 
 struct Token {
-  std::string home;             // the coordinator where the session lives
-  std::uint64_t incarnation{};  // of that process
+  std::string home;             // name of the coordinator that holds the session
+  std::uint64_t incarnation{};  // of that coordinator's process
   std::uint64_t session{};
   int tenant{};
   std::string device;
   bool operator==(const Token&) const = default;
 };
 
-class Sealer {
+class TokenSigner {
  public:
   using Secret = std::array<unsigned char, 32>;
-  explicit Sealer(const Secret& secret) : secret_(secret) {}
-  std::string seal(const Token& token) const;
-  // Empty where the text is no token of ours: cut, changed, or sealed with another secret.
-  std::optional<Token> open(std::string_view text) const;
+  explicit TokenSigner(const Secret& secret) : secret_(secret) {}
+  std::string sign(const Token& token) const;
+  // Empty if the text is not a valid token: truncated, changed, or signed with another secret.
+  std::optional<Token> verify(std::string_view text) const;
 
  private:
   Secret secret_;
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -46,7 +46,7 @@
       .text("ADDRESS")
       .repeated()
       .take([&into](const Given& given) {
-        return into.logic.homes.emplace(given.text(0), given.text(1)).second
+        return into.logic.peer_homes.emplace(given.text(0), given.text(1)).second
                    ? std::string()
                    : "home '" + given.text(0) + "' is given twice";
       });
@@ -56,7 +56,9 @@
                  "it is answered 'unknown'")
       .text("NAME")
       .repeated()
-      .take([&into](const Given& given) { return into.logic.gone.insert(given.text(0)), std::string(); });
+      .take([&into](const Given& given) {
+        return into.logic.retired_homes.insert(given.text(0)), std::string();
+      });
   block
       .directive("secret",
                  "a file of 32 bytes or more that all homes share; without it tokens hold for this process")
@@ -77,49 +79,53 @@
         return std::string();
       });
   time("ledger-keep", "how long the outcome of a load is known; later its key is refused as too old",
-       60 * kSecond, 720 * kHour, "24h", into.logic.ledger.keep);
+       60 * kSecond, 720 * kHour, "24h", into.logic.ledger.retention);
   count("ledger-entries", "outcomes known at a time; beyond, requests are refused", 100, 1e8, "1000000",
-        into.logic.ledger.entries_most);
+        into.logic.ledger.max_entries);
   time("session-keep", "how long a session lives without a connection", kSecond, 48 * kHour, "10m",
-       into.logic.session_keep);
+       into.logic.session_ttl);
   time("poll-wait", "how long a poll waits for something to tell", kSecond / 10, 120 * kSecond, "25s",
        into.poll_wait);
-  count("sessions", "sessions at a time", 1, 1e6, "20000", into.logic.sessions_most);
-  count("sessions-tenant", "of one tenant", 1, 1e6, "20000", into.logic.sessions_tenant);
+  count("sessions", "sessions at a time", 1, 1e6, "20000", into.logic.max_sessions);
+  count("sessions-tenant", "of one tenant", 1, 1e6, "20000", into.logic.max_sessions_per_tenant);
   count("sessions-device", "of one device; the one left alone for longest gives way", 1, 64, "4",
-        into.logic.sessions_device);
+        into.logic.max_sessions_per_device);
   count("connections", "connections at a time", 1, 65536, "256", into.connections);
-  count("requests", "requests of one session open at a time", 1, 1024, "32", into.logic.asks_most);
+  count("requests", "requests of one session open at a time", 1, 1024, "32", into.logic.max_open_requests);
   bytes("window", "rows on the way to one device", 4 * kK, 16 * kM, "128k", into.logic.window);
-  bytes("page-least", "rows in one message, on the slowest links", 256, 64 * kK, "4k", into.logic.page_least);
-  bytes("page-most", "rows in one message, on the fastest", kK, 128 * kK, "64k", into.logic.page_most);
+  bytes("page-least", "rows in one message, on the slowest links", 256, 64 * kK, "4k",
+        into.logic.min_page_bytes);
+  bytes("page-most", "rows in one message, on the fastest", kK, 128 * kK, "64k", into.logic.max_page_bytes);
   bytes("memory", "rows on the way to all devices", kM, 16 * kG, "32m", into.logic.memory.most);
-  count("rate", "devices let in a second, when many come at once", 1, 1e6, "500", into.logic.gate.rate);
-  count("burst", "let in at once before that rate holds", 1, 1e6, "100", into.logic.gate.burst);
+  count("rate", "devices let in a second, when many come at once", 1, 1e6, "500",
+        into.logic.admission.rate_per_second);
+  count("burst", "let in at once before that rate holds", 1, 1e6, "100", into.logic.admission.burst);
   count("waiting", "devices that may wait to be let in; the others are told when to come back", 1, 1e6,
-        "1000", into.logic.gate.waiting_most);
+        "1000", into.logic.admission.max_waiting);
   time("heartbeat-least", "between heartbeats, on the fastest links", kSecond / 10, 60 * kSecond, "2s",
-       into.logic.heartbeat_least);
-  time("heartbeat-most", "on the slowest", kSecond / 5, 600 * kSecond, "30s", into.logic.heartbeat_most);
+       into.logic.min_heartbeat);
+  time("heartbeat-most", "on the slowest", kSecond / 5, 600 * kSecond, "30s", into.logic.max_heartbeat);
   using Wrong = conf::Block::Wrong;
   block.rule([&into]() -> Wrong {
-    if (into.logic.page_least <= into.logic.page_most) return {};
+    if (into.logic.min_page_bytes <= into.logic.max_page_bytes) return {};
     return {"page-least", "the least page is larger than the most"};
   });
   block.rule([&into]() -> Wrong {
-    if (into.logic.window >= into.logic.page_most) return {};
+    if (into.logic.window >= into.logic.max_page_bytes) return {};
     return {"window", "a window must hold the largest page"};
   });
   block.rule([&into]() -> Wrong {
-    if (into.logic.heartbeat_least <= into.logic.heartbeat_most) return {};
+    if (into.logic.min_heartbeat <= into.logic.max_heartbeat) return {};
     return {"heartbeat-least", "the least pause is longer than the most"};
   });
   block.rule([&into]() -> Wrong {
-    if (!into.logic.homes.contains(into.logic.home) && !into.logic.gone.contains(into.logic.home)) return {};
+    if (!into.logic.peer_homes.contains(into.logic.home) &&
+        !into.logic.retired_homes.contains(into.logic.home))
+      return {};
     return {"home", "this home is named among the others"};
   });
   block.rule([&into]() -> Wrong {
-    if (into.secret_file.empty() && (!into.logic.homes.empty() || !into.logic.gone.empty()))
+    if (into.secret_file.empty() && (!into.logic.peer_homes.empty() || !into.logic.retired_homes.empty()))
       return {"home", "homes that know of each other must share a 'secret'"};
     return {};
   });
--- a/standins/device.h
+++ b/standins/device.h
@@ -1,5 +1,5 @@
-// A stand-in for a device: the other end of the edge's session protocol, without I/O, so that it runs over
-// real links and over simulated ones alike.
+// A device for tests: the client side of the edge's session protocol, without I/O, so that it runs over real
+// and simulated links.
 #pragma once
 
 #include <functional>
@@ -16,23 +16,23 @@
  public:
   struct Request {
     edge::Body body;
-    std::chrono::microseconds asked{0}, deadline{0};
+    std::chrono::microseconds asked_at{0}, deadline{0};
     bool answered{false}, done{false};
-    int finals{0};  // final answers heard; more than one is a fault of the edge
-    int asked_again{0};
-    bool changed{false};  // what was asked again was answered otherwise than the first time
+    int final_answers{0};  // final answers received; more than one is an error of the edge
+    int resends{0};
+    bool answer_changed{false};  // a retry got a different outcome than the first answer
     edge::Outcome outcome;
     std::string code;
     std::string rows;
-    std::uint64_t have_rows{0};
-    bool wrong{false};  // rows out of order, or of another request
+    std::uint64_t row_count{0};
+    bool rows_invalid{false};  // rows out of order, or after the end
   };
 
   Device(std::string tenant, std::string name) : tenant_(std::move(tenant)), name_(std::move(name)) {}
 
-  // Asks for something, now or as soon as there is a session; returns the key.
-  std::uint64_t ask(const std::string& verb, const std::string& statement, std::int64_t limit_ms,
-                    std::chrono::microseconds now) {
+  // Adds a request, which is sent as soon as there is a session; returns its key.
+  std::uint64_t submit(const std::string& verb, const std::string& statement, std::int64_t limit_ms,
+                       std::chrono::microseconds now) {
     const std::uint64_t key = ++last_key_;
     Request& request = requests_[key];
     request.body.kind = edge::Body::Kind::kRequest;
@@ -40,17 +40,17 @@
     request.body.verb = verb;
     request.body.statement = statement;
     request.body.limit_ms = limit_ms;
-    request.asked = now;
+    request.asked_at = now;
     request.deadline = now + std::chrono::milliseconds(limit_ms);
-    ++open_;
+    ++open_count_;
     if (in_session_) channel_.push(request.body);
     return key;
   }
-  // Sends a request once more, as a device does that has lost its memory of having sent it.
-  void ask_again(std::uint64_t key) {
+  // Sends an open request again, as a device that has lost the record of having sent it.
+  void resend(std::uint64_t key) {
     Request& request = requests_.at(key);
     if (!in_session_ || request.done) return;
-    ++request.asked_again;
+    ++request.resends;
     channel_.push(request.body);
   }
   void interrupt(std::uint64_t key) {
@@ -60,133 +60,137 @@
     if (in_session_) channel_.push(body);
   }
 
-  // A new connection is up: what to say first.
+  // The first frame on a new connection.
   edge::Frame hello(std::chrono::microseconds now) {
     welcomed_ = false;
     edge::Frame frame;
     frame.type = edge::Frame::Type::kHello;
     frame.tenant = tenant_;
     frame.device = name_;
-    if (!plain) frame.token = token_;
-    frame.have = channel_.have();
-    std::int64_t nearest = 60'000;
+    if (!sessionless) frame.token = token_;
+    frame.next_expected = channel_.next_expected();
+    std::int64_t earliest_ms = 60'000;
     for (const auto& [_, request] : requests_) {
-      if (!request.done) nearest = std::min<std::int64_t>(nearest, (request.deadline - now).count() / 1000);
+      if (!request.done)
+        earliest_ms = std::min<std::int64_t>(earliest_ms, (request.deadline - now).count() / 1000);
     }
-    frame.deadline_ms = std::max<std::int64_t>(0, nearest);
+    frame.deadline_ms = std::max<std::int64_t>(0, earliest_ms);
     return frame;
   }
 
-  enum class Then { kGoOn, kClose, kComeLater, kElsewhere };
-  // A frame has come; what is to be said goes to `out`.
-  Then heard(const edge::Frame& frame, std::vector<edge::Frame>& out) {
+  enum class NextStep { kContinue, kClose, kRetryLater, kReconnectElsewhere };
+  // Handles a received frame and appends the frames to send to `out`.
+  NextStep on_frame(const edge::Frame& frame, std::vector<edge::Frame>& out) {
     using Type = edge::Frame::Type;
     switch (frame.type) {
       case Type::kWelcome:
-        welcome(frame);
+        on_welcome(frame);
         break;
       case Type::kMessage: {
-        channel_.acknowledge(frame.have);
-        const auto heard = channel_.heard(frame.seq);
-        if (heard == edge::Heard::kGap && !polling) return Then::kClose;
-        if (heard == edge::Heard::kNew) message(frame.body);
+        channel_.acknowledge(frame.next_expected);
+        const auto receipt = channel_.receive(frame.seq);
+        if (receipt == edge::Receipt::kGap && !long_polling) return NextStep::kClose;
+        if (receipt == edge::Receipt::kNew) on_message(frame.body);
         edge::Frame ack;
         ack.type = Type::kAck;
-        ack.have = channel_.have();
+        ack.next_expected = channel_.next_expected();
         out.push_back(ack);
         break;
       }
       case Type::kAck:
-        channel_.acknowledge(frame.have);
+        channel_.acknowledge(frame.next_expected);
         break;
       case Type::kPing: {
         edge::Frame pong;
         pong.type = Type::kPong;
         pong.nonce = frame.nonce;
-        pong.have = channel_.have();
+        pong.next_expected = channel_.next_expected();
         out.push_back(pong);
         break;
       }
       case Type::kLater:
-        later_ms = frame.later_ms;
-        return Then::kComeLater;
+        retry_after_ms = frame.retry_after_ms;
+        return NextStep::kRetryLater;
       case Type::kMoved:
         home = frame.home;
-        return Then::kElsewhere;
+        return NextStep::kReconnectElsewhere;
       case Type::kError:
         last_error = frame.code;
         if (frame.code == "token") token_.clear();
-        return Then::kClose;
+        return NextStep::kClose;
       default:
         break;
     }
     transmit(out);
-    return Then::kGoOn;
+    return NextStep::kContinue;
   }
-  // What waits to be sent.
+  // Appends the frames of all messages that wait to be sent.
   void transmit(std::vector<edge::Frame>& out) {
     if (!welcomed_) return;
     while (edge::Body* body = channel_.peek()) {
       edge::Frame frame;
       frame.type = edge::Frame::Type::kMessage;
       frame.seq = channel_.cursor();
-      frame.have = channel_.have();
+      frame.next_expected = channel_.next_expected();
       if (body->kind == edge::Body::Kind::kRequest) {
-        // The incarnation under which it is sent for the first time stays with it.
-        auto& first = requests_.at(body->key).body.first;
-        if (first == 0) first = incarnation_;
-        body->first = first;
+        // A request keeps the incarnation to which it was first sent.
+        auto& first_incarnation = requests_.at(body->key).body.first_incarnation;
+        if (first_incarnation == 0) first_incarnation = incarnation_;
+        body->first_incarnation = first_incarnation;
       }
       frame.body = *body;
-      channel_.transmitted();
+      channel_.advance_cursor();
       out.push_back(std::move(frame));
     }
   }
-  // What was sent and not acknowledged is sent again, as over polls, where answers get lost.
+  // Sends all unacknowledged messages again, as needed over long polls, whose responses may be lost.
   void rewind() { channel_.resume(channel_.base()); }
 
-  bool idle() const { return open_ == 0; }
-  std::size_t open() const { return open_; }
+  bool idle() const { return open_count_ == 0; }
+  std::size_t open_count() const { return open_count_; }
   const std::map<std::uint64_t, Request>& requests() const { return requests_; }
   const std::string& token() const { return token_; }
   void set_token(std::string token) { token_ = std::move(token); }
   void forget_token() { token_.clear(); }
-  // As if it had been sent under that incarnation before.
-  void set_first(std::uint64_t key, std::uint64_t first) { requests_.at(key).body.first = first; }
+  // Pretends that the request was first sent to that incarnation.
+  void set_first_incarnation(std::uint64_t key, std::uint64_t incarnation) {
+    requests_.at(key).body.first_incarnation = incarnation;
+  }
   const std::string& name() const { return name_; }
-  edge::Seq have() const { return channel_.have(); }
+  edge::Seq next_expected() const { return channel_.next_expected(); }
   bool welcomed() const { return welcomed_; }
   std::string last_error, home;
-  std::int64_t later_ms{0}, heartbeat_ms{0};
-  bool draining{false}, polling{false};
-  bool plain{false};  // without sessions: every connection begins anew, and so do its requests' rows
-  std::uint64_t sessions{0}, resumes{0};
+  std::int64_t retry_after_ms{0}, heartbeat_ms{0};
+  bool draining{false}, long_polling{false};
+  bool sessionless{
+      false};  // never resumes: each connection starts a new session, and all rows are sent again
+  std::uint64_t session_count{0}, resume_count{0};
 
  private:
-  void welcome(const edge::Frame& frame) {
+  void on_welcome(const edge::Frame& frame) {
     token_ = frame.token;
     incarnation_ = frame.incarnation;
     welcomed_ = true;
     heartbeat_ms = frame.heartbeat_ms;
     if (frame.resumed) {
-      ++resumes;
-      channel_.resume(frame.have);
+      ++resume_count;
+      channel_.resume(frame.next_expected);
       return;
     }
-    // A session of its own: what has no final answer is asked again, under its old key.
-    ++sessions;
-    channel_ = edge::Channel<edge::Body>(frame.have);
+    // A new session: requests without a final answer are sent again under their keys.
+    ++session_count;
+    channel_ = edge::Channel<edge::Body>(frame.next_expected);
     in_session_ = true;
     for (auto& [key, request] : requests_) {
       if (request.done) continue;
       request.answered = false;
       request.rows.clear();
-      request.have_rows = 0;
+      request.row_count = 0;
       channel_.push(request.body);
     }
   }
 
-  void message(const edge::Body& body) {
+  void on_message(const edge::Body& body) {
     if (body.kind == edge::Body::Kind::kNotice) {
       draining |= body.code == "draining";
       return;
@@ -194,43 +198,43 @@
     const auto at = requests_.find(body.key);
     if (at == requests_.end()) return;
     Request& request = at->second;
-    if (request.done && request.asked_again > 0) {
-      // It was asked again before this side had the answer, and that has crossed it: the same is told once
-      // more.
-      if (body.kind == edge::Body::Kind::kAnswer) request.changed |= body.outcome.how != request.outcome.how;
+    if (request.done && request.resends > 0) {
+      // The request was sent again before its answer arrived, so the answer comes twice and must not differ.
+      if (body.kind == edge::Body::Kind::kAnswer)
+        request.answer_changed |= body.outcome.status != request.outcome.status;
       return;
     }
     if (body.kind == edge::Body::Kind::kAnswer) {
-      if (request.done || request.answered) ++request.finals;
+      if (request.done || request.answered) ++request.final_answers;
       request.answered = true;
       request.outcome = body.outcome;
       request.code = body.code;
-      if (body.outcome.how != edge::Outcome::How::kServed || body.outcome.rows == 0) finish(request);
+      if (body.outcome.status != edge::Outcome::Status::kServed || body.outcome.rows == 0) finish(request);
       return;
     }
     if (!body.code.empty()) {
       request.code = body.code;
       return finish(request);
     }
-    if (request.done || body.row != request.have_rows || !body.text) {
-      request.wrong = true;
+    if (request.done || body.first_row != request.row_count || !body.text) {
+      request.rows_invalid = true;
       return;
     }
     request.rows += *body.text;
-    request.have_rows += body.count;
+    request.row_count += body.row_count;
     if (body.last) finish(request);
   }
   void finish(Request& request) {
-    open_ -= !request.done;
+    open_count_ -= !request.done;
     request.done = true;
-    ++request.finals;
+    ++request.final_answers;
   }
 
   std::string tenant_, name_, token_;
   edge::Channel<edge::Body> channel_;
   std::map<std::uint64_t, Request> requests_;
   std::uint64_t last_key_{0}, incarnation_{0};
-  std::size_t open_{0};  // requests without their end: some of thousands
+  std::size_t open_count_{0};  // requests that are not done; there may be thousands in requests_
   bool in_session_{false}, welcomed_{false};
 };
 
--- a/standins/edge_client.cpp
+++ b/standins/edge_client.cpp
@@ -123,7 +123,7 @@
   }
   void poll() {
     if (!up_ || !*alive_) return;
-    Envelope envelope{link_, client_.device_.have(), std::exchange(waiting_, {})};
+    Envelope envelope{link_, client_.device_.next_expected(), std::exchange(waiting_, {})};
     const auto request = post(link_.empty() ? "/edge/open" : "/edge/poll", envelope);
     http::async_write(stream_, *request, [self = shared_from_this(), request](error_code error, std::size_t) {
       if (error) return self->lost();
@@ -202,7 +202,7 @@
 void EdgeClient::connect() {
   stopped_ = false;
   ++connects_;
-  device_.polling = by_ == By::kPoll;
+  device_.long_polling = by_ == By::kPoll;
   const Frame hello = device_.hello(now());
   if (by_ == By::kPoll) {
     const auto polling = std::make_shared<Polling>(*this);
@@ -220,7 +220,7 @@
 }
 
 std::uint64_t EdgeClient::ask(const std::string& verb, const std::string& statement, std::int64_t limit_ms) {
-  const std::uint64_t key = device_.ask(verb, statement, limit_ms, now());
+  const std::uint64_t key = device_.submit(verb, statement, limit_ms, now());
   push();
   return key;
 }
@@ -234,10 +234,10 @@
 void EdgeClient::heard(const Way* from, const Frame& frame) {
   if (from != way_.get()) return;
   std::vector<Frame> frames;
-  const auto then = device_.heard(frame, frames);
+  const auto then = device_.on_frame(frame, frames);
   watch();
   if (!frames.empty()) way_->say(frames);
-  if (then != Device::Then::kGoOn) lost(from);
+  if (then != Device::NextStep::kContinue) lost(from);
 }
 
 void EdgeClient::lost(const Way* from) {
@@ -247,7 +247,7 @@
   silence_.cancel();
   if (stopped_) return;
   auto wait = std::chrono::milliseconds(10);
-  if (device_.later_ms > 0) wait = std::chrono::milliseconds(std::exchange(device_.later_ms, 0));
+  if (device_.retry_after_ms > 0) wait = std::chrono::milliseconds(std::exchange(device_.retry_after_ms, 0));
   again_.expires_after(wait);
   again_.async_wait([this, alive = alive_](error_code error) {
     if (!error && *alive && !stopped_ && !way_) connect();
--- a/standins/lab.cpp
+++ b/standins/lab.cpp
@@ -98,11 +98,12 @@
   for (; seeds > 0; --seeds, ++options.seed) {
     const SimResult result = simulate(options);
     for (const std::string& line : result.history) std::cout << line << '\n';
-    for (const std::string& fault : result.faults)
+    for (const std::string& fault : result.violations)
       std::cout << "seed " << options.seed << ": " << fault << '\n';
-    bad += !result.faults.empty();
+    bad += !result.violations.empty();
     requests += result.requests, answers += result.answers, twice += result.loads_run_twice;
-    unknown += result.unknown, loads += result.loads, crashes += result.crashes, cuts += result.cuts;
+    unknown += result.unknown_outcomes, loads += result.loads, crashes += result.crashes,
+        cuts += result.link_failures;
   }
   std::cout << requests << " requests, " << answers << " final answers, " << loads << " loads, " << twice
             << " run twice, " << unknown << " unknown; " << crashes << " crashes, " << cuts << " cuts; "
@@ -171,7 +172,8 @@
   sim->add_option("--seed", options.seed, "the first seed");
   sim->add_option("--seeds", seeds, "so many, from that one on");
   sim->add_option("--devices", options.devices, "devices")->check(CLI::Range(1, 1000));
-  sim->add_option("--requests", options.requests, "requests of each device")->check(CLI::Range(1, 10000));
+  sim->add_option("--requests", options.requests_per_device, "requests of each device")
+      ->check(CLI::Range(1, 10000));
   sim->add_flag("--memory", memory, "the ledger has no disk");
   sim->add_flag("--record-after-dispatch", options.record_after_dispatch, "broken on purpose");
   sim->add_flag("--trust-acknowledgements", options.trust_acknowledgements, "broken on purpose");
--- a/tests/edge/logic_test.cpp
+++ b/tests/edge/logic_test.cpp
@@ -1,4 +1,4 @@
-// The edge's decisions: numbered messages, gate, ledger and sessions, against plain models and in simulation.
+// Tests of the edge's logic: channel, admission gate, ledger and sessions, with models and simulation.
 #include <rapidcheck/catch.h>
 
 #include <catch2/catch.hpp>
@@ -16,16 +16,16 @@
 using steprail::standin::SimResult;
 using steprail::standin::simulate;
 
-std::string shown(const SimResult& result) {
+std::string describe(const SimResult& result) {
   std::string all;
-  for (const std::string& fault : result.faults) all += fault + '\n';
+  for (const std::string& violation : result.violations) all += violation + '\n';
   return all;
 }
 
-// The first seed under which the checker finds something; 0 where none of so many does.
-std::uint64_t caught(SimOptions options, std::uint64_t seeds) {
+// The first seed for which the checker reports a violation, or 0 if there is none among `seeds`.
+std::uint64_t first_detected_seed(SimOptions options, std::uint64_t seeds) {
   for (options.seed = 1; options.seed <= seeds; ++options.seed) {
-    if (!simulate(options).faults.empty()) return options.seed;
+    if (!simulate(options).violations.empty()) return options.seed;
   }
   return 0;
 }
@@ -33,8 +33,8 @@
 }  // namespace
 
 TEST_CASE(
-    "edge: a channel gives each message once and in order over any cuts, across the wrap of its numbers") {
-  rc::prop("random cuts, losses and repeats", [] {
+    "edge: a channel delivers each message once and in order across disconnects and sequence number wrap") {
+  rc::prop("random disconnects, losses and duplicates", [] {
     const auto first = *rc::gen::element<Seq>(1u, 0u, 0xfffffff0u, 0x7ffffff5u);
     Channel<int> a(first), b(first);
     std::deque<std::pair<Seq, int>> wire;
@@ -46,137 +46,140 @@
       } else if (step < 5) {
         if (int* body = a.peek()) {
           wire.emplace_back(a.cursor(), *body);
-          a.transmitted();
+          a.advance_cursor();
         }
       } else if (step < 7) {
         if (wire.empty()) continue;
         const auto [seq, body] = wire.front();
         wire.pop_front();
-        const Heard heard = b.heard(seq);
-        RC_ASSERT(heard != Heard::kGap);
-        if (heard == Heard::kNew) got.push_back(body);
-        if (*rc::gen::arbitrary<bool>()) RC_ASSERT(a.acknowledge(b.have()) != Acked::kForged);
+        const Receipt receipt = b.receive(seq);
+        RC_ASSERT(receipt != Receipt::kGap);
+        if (receipt == Receipt::kNew) got.push_back(body);
+        if (*rc::gen::arbitrary<bool>()) RC_ASSERT(a.acknowledge(b.next_expected()) != AckResult::kInvalid);
       } else {
-        wire.clear();  // the link is cut, and everything on it lost
-        RC_ASSERT(a.resume(b.have()) != Acked::kForged);
+        wire.clear();  // the link fails, and everything on it is lost
+        RC_ASSERT(a.resume(b.next_expected()) != AckResult::kInvalid);
       }
-      RC_ASSERT(a.acknowledge(a.next() + 1) == Acked::kForged);
+      RC_ASSERT(a.acknowledge(a.next() + 1) == AckResult::kInvalid);
       RC_ASSERT(a.unacknowledged() <= static_cast<std::size_t>(pushed));
     }
-    a.resume(b.have());
+    a.resume(b.next_expected());
     while (int* body = a.peek()) {
-      if (b.heard(a.cursor()) == Heard::kNew) got.push_back(*body);
-      a.transmitted();
+      if (b.receive(a.cursor()) == Receipt::kNew) got.push_back(*body);
+      a.advance_cursor();
     }
     RC_ASSERT(got.size() == static_cast<std::size_t>(pushed));
     for (int i = 0; i < pushed; ++i) RC_ASSERT(got[static_cast<std::size_t>(i)] == i);
-    a.acknowledge(b.have());
+    a.acknowledge(b.next_expected());
     RC_ASSERT(a.unacknowledged() == 0u);
-    RC_ASSERT(a.acknowledge(first) != Acked::kForged);  // going back is old news, no fault
+    RC_ASSERT(a.acknowledge(first) != AckResult::kInvalid);  // a stale acknowledgement is valid
   });
 }
 
-TEST_CASE("edge: links of long polls give way in their order, and none whose poll waits") {
-  rc::prop("against a plain list", [] {
-    struct Plain {
+TEST_CASE("edge: long-poll links are evicted in order, and never while a poll waits") {
+  rc::prop("compared with a list", [] {
+    struct ModelLink {
       std::string name;
-      std::int64_t heard{};
-      bool waits{}, ended{};
+      std::int64_t last_heard_at{};
+      bool polling{}, closed{};
     };
-    std::vector<Plain> plain;
+    std::vector<ModelLink> model;
     PollLinks links;
     std::int64_t now = 0;
     int last = 0;
-    const auto most = *rc::gen::inRange<std::size_t>(1, 6);
+    const auto max_links = *rc::gen::inRange<std::size_t>(1, 6);
     for (const int step : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 600))) {
       ++now;
       const auto at =
-          plain.empty() ? plain.end() : plain.begin() + (step / 6) % static_cast<int>(plain.size());
+          model.empty() ? model.end() : model.begin() + (step / 6) % static_cast<int>(model.size());
       switch (step % 6) {
         case 0:
         case 1: {
-          // Who goes: the ended ones first, then those heard of longest ago; never one that waits.
-          auto order = plain;
-          std::erase_if(order, [](const Plain& p) { return p.waits; });
-          std::stable_sort(order.begin(), order.end(), [](const Plain& a, const Plain& b) {
-            return std::pair(!a.ended, a.heard) < std::pair(!b.ended, b.heard);
+          // Closed links are evicted first, then those heard from longest ago; never one with a waiting poll.
+          auto order = model;
+          std::erase_if(order, [](const ModelLink& p) { return p.polling; });
+          std::stable_sort(order.begin(), order.end(), [](const ModelLink& a, const ModelLink& b) {
+            return std::pair(!a.closed, a.last_heard_at) < std::pair(!b.closed, b.last_heard_at);
           });
-          const std::size_t needed = plain.size() < most ? 0 : plain.size() + 1 - most;
-          const auto room = links.room(most);
-          RC_ASSERT(room.is == (needed <= order.size()));
-          RC_ASSERT(room.gives_way.size() == (room.is ? needed : 0));
-          for (std::size_t i = 0; i < room.gives_way.size(); ++i) {
-            RC_ASSERT(room.gives_way[i] == order[i].name);
+          const std::size_t needed = model.size() < max_links ? 0 : model.size() + 1 - max_links;
+          const auto plan = links.plan_eviction(max_links);
+          RC_ASSERT(plan.has_room == (needed <= order.size()));
+          RC_ASSERT(plan.evicted.size() == (plan.has_room ? needed : 0));
+          for (std::size_t i = 0; i < plan.evicted.size(); ++i) {
+            RC_ASSERT(plan.evicted[i] == order[i].name);
             links.erase(order[i].name);
-            std::erase_if(plain, [&](const Plain& p) { return p.name == order[i].name; });
+            std::erase_if(model, [&](const ModelLink& p) { return p.name == order[i].name; });
           }
-          if (!room.is) break;
-          plain.push_back({"link" + std::to_string(++last), now, false, false});
-          links.open(plain.back().name, Micros{now});
+          if (!plan.has_room) break;
+          model.push_back({"link" + std::to_string(++last), now, false, false});
+          links.open(model.back().name, Micros{now});
           break;
         }
         case 2:
-          if (at == plain.end()) break;
-          at->heard = now;
-          links.heard(at->name, Micros{now});
+          if (at == model.end()) break;
+          at->last_heard_at = now;
+          links.touch(at->name, Micros{now});
           break;
         case 3:
-          if (at == plain.end()) break;
-          at->waits = !at->waits;
-          links.waits(at->name, at->waits);
+          if (at == model.end()) break;
+          at->polling = !at->polling;
+          links.set_polling(at->name, at->polling);
           break;
         case 4:
-          if (at == plain.end()) break;
-          at->ended = true;
-          links.end(at->name);
+          if (at == model.end()) break;
+          at->closed = true;
+          links.mark_closed(at->name);
           break;
         default: {
-          const auto silent = links.silent(Micros{now}, Micros{20});
-          RC_ASSERT(silent.size() ==
-                    static_cast<std::size_t>(std::count_if(
-                        plain.begin(), plain.end(), [&](const Plain& p) { return now - p.heard > 20; })));
+          const auto silent = links.silent_longer_than(Micros{now}, Micros{20});
+          RC_ASSERT(silent.size() == static_cast<std::size_t>(std::count_if(
+                                         model.begin(), model.end(),
+                                         [&](const ModelLink& p) { return now - p.last_heard_at > 20; })));
           for (const std::string& name : silent) {
             links.erase(name);
-            std::erase_if(plain, [&](const Plain& p) { return p.name == name; });
+            std::erase_if(model, [&](const ModelLink& p) { return p.name == name; });
           }
         }
       }
-      RC_ASSERT(links.size() == plain.size());
-      RC_ASSERT(links.size() <= most);
+      RC_ASSERT(links.size() == model.size());
+      RC_ASSERT(links.size() <= max_links);
     }
   });
 }
 
-TEST_CASE("edge: the gate lets in at its rate, nearest deadlines first, and spreads the others out") {
-  Gate gate({100, 10, 500, Micros{2'000'000}}, 7);
-  std::vector<Gate::Turned> turned;
-  std::vector<std::uint64_t> in;
-  for (std::uint64_t who = 1; who <= 10'000; ++who)
-    gate.arrive(who, Micros{static_cast<std::int64_t>((who * 7919) % 10'000) * 1000}, Micros{0}, turned);
-  CHECK(gate.waiting() == 500);
-  CHECK(turned.size() == 9500);
+TEST_CASE(
+    "edge: the admission gate admits at its rate, earliest deadlines first, and spreads out the retries") {
+  AdmissionGate gate({100, 10, 500, Micros{2'000'000}}, 7);
+  std::vector<AdmissionGate::Deferred> deferred;
+  std::vector<std::uint64_t> admitted;
+  for (std::uint64_t id = 1; id <= 10'000; ++id)
+    gate.enqueue(id, Micros{static_cast<std::int64_t>((id * 7919) % 10'000) * 1000}, Micros{0}, deferred);
+  CHECK(gate.waiting_count() == 500);
+  CHECK(deferred.size() == 9500);
   std::set<std::int64_t> times;
-  for (const auto& away : turned) {
-    CHECK(away.later > Micros{0});
-    times.insert(away.later.count() / 10'000);
+  for (const auto& device : deferred) {
+    CHECK(device.retry_after > Micros{0});
+    times.insert(device.retry_after.count() / 10'000);
   }
-  CHECK(times.size() > 100);  // not all at one moment
-  for (std::int64_t now = 0; now <= 1'000'000; now += 10'000) gate.admit(Micros{now}, in, turned);
-  CHECK(in.size() >= 100);
-  CHECK(in.size() <= 112);
-  for (std::size_t i = 1; i < in.size(); ++i) CHECK((in[i - 1] * 7919) % 10'000 < (in[i] * 7919) % 10'000);
-  for (std::int64_t now = 1'000'000; now <= 4'000'000; now += 10'000) gate.admit(Micros{now}, in, turned);
-  CHECK(gate.waiting() == 0);
-  CHECK(in.size() + turned.size() == 10'000);
+  CHECK(times.size() > 100);  // the retries are spread out
+  for (std::int64_t now = 0; now <= 1'000'000; now += 10'000) gate.admit(Micros{now}, admitted, deferred);
+  CHECK(admitted.size() >= 100);
+  CHECK(admitted.size() <= 112);
+  for (std::size_t i = 1; i < admitted.size(); ++i)
+    CHECK((admitted[i - 1] * 7919) % 10'000 < (admitted[i] * 7919) % 10'000);
+  for (std::int64_t now = 1'000'000; now <= 4'000'000; now += 10'000)
+    gate.admit(Micros{now}, admitted, deferred);
+  CHECK(gate.waiting_count() == 0);
+  CHECK(admitted.size() + deferred.size() == 10'000);
 }
 
-TEST_CASE("edge: suspicion grows with silence, slowly on links that are often silent") {
-  Suspicion steady(Micros{1'000'000}), rare(Micros{1'000'000});
+TEST_CASE("edge: the failure detector's phi grows with silence, slowly on links that are often silent") {
+  FailureDetector steady(Micros{1'000'000}), rare(Micros{1'000'000});
   Micros now{0};
-  for (int i = 0; i < 200; ++i) steady.heard(now += Micros{1'000'000});
+  for (int i = 0; i < 200; ++i) steady.on_heard(now += Micros{1'000'000});
   const Micros steady_last = now;
   now = Micros{0};
-  for (int i = 0; i < 200; ++i) rare.heard(now += Micros{i % 2 == 0 ? 500'000 : 9'500'000});
+  for (int i = 0; i < 200; ++i) rare.on_heard(now += Micros{i % 2 == 0 ? 500'000 : 9'500'000});
   CHECK(steady.phi(steady_last) < 1);
   CHECK(steady.phi(steady_last + Micros{3'000'000}) > 8);
   CHECK(rare.phi(now + Micros{3'000'000}) < 1);
@@ -187,65 +190,65 @@
     CHECK(phi >= last);
     last = phi;
   }
-  const Micros until = steady.until(8, steady_last);
+  const Micros until = steady.suspected_at(8, steady_last);
   CHECK(steady.phi(until) >= 8);
   CHECK(steady.phi(until - Micros{20'000}) < 8);
 }
 
-TEST_CASE("edge: the round trip follows RFC 6298 and backs off") {
-  RoundTrip trip;
-  CHECK(trip.timeout() == Micros{1'000'000});
-  trip.sample(Micros{400'000});
-  CHECK(trip.smoothed() == Micros{400'000});
-  CHECK(trip.timeout() == Micros{1'200'000});  // SRTT + 4 * SRTT / 2
-  trip.sample(Micros{400'000});
-  CHECK(trip.timeout() == Micros{1'000'000});  // the variance falls by a quarter
-  trip.timed_out();
-  CHECK(trip.timeout() == Micros{2'000'000});
-  trip.sample(Micros{400'000});
-  CHECK(trip.timeout() < Micros{1'000'000});
+TEST_CASE("edge: the round-trip estimate follows RFC 6298 and backs off") {
+  RttEstimator rtt;
+  CHECK(rtt.timeout() == Micros{1'000'000});
+  rtt.add_sample(Micros{400'000});
+  CHECK(rtt.smoothed() == Micros{400'000});
+  CHECK(rtt.timeout() == Micros{1'200'000});  // SRTT + 4 * SRTT / 2
+  rtt.add_sample(Micros{400'000});
+  CHECK(rtt.timeout() == Micros{1'000'000});  // RTTVAR falls by a quarter
+  rtt.on_timeout();
+  CHECK(rtt.timeout() == Micros{2'000'000});
+  rtt.add_sample(Micros{400'000});
+  CHECK(rtt.timeout() < Micros{1'000'000});
 }
 
-TEST_CASE("edge: a token opens with its secret alone, and not where any of it is changed") {
-  Sealer::Secret secret{};
+TEST_CASE("edge: a token verifies only with its secret, and not if any of it is changed") {
+  TokenSigner::Secret secret{};
   secret[5] = 9;
-  const Sealer sealer(secret);
+  const TokenSigner signer(secret);
   const Token token{"one", 42, 99, 1, "tablet"};
-  const std::string text = sealer.seal(token);
-  CHECK(sealer.open(text) == token);
+  const std::string text = signer.sign(token);
+  CHECK(signer.verify(text) == token);
   secret[5] = 8;
-  CHECK_FALSE(Sealer(secret).open(text));
+  CHECK_FALSE(TokenSigner(secret).verify(text));
   for (std::size_t at = 0; at < text.size(); ++at) {
     std::string other = text;
     other[at] = other[at] == 'A' ? 'B' : 'A';
-    const auto opened = sealer.open(other);
-    // The last letter holds bits that belong to no byte.
-    if (at + 1 < text.size()) CHECK_FALSE(opened);
-    CHECK_FALSE(sealer.open(text.substr(0, at)));
+    const auto verified = signer.verify(other);
+    // The last base64 digit has unused bits, so a change there may go unnoticed.
+    if (at + 1 < text.size()) CHECK_FALSE(verified);
+    CHECK_FALSE(signer.verify(text.substr(0, at)));
   }
 }
 
 namespace {
 
-// The ledger over a disk that may fail, and processes that may end, against what has really happened.
-struct LedgerWorld {
-  explicit LedgerWorld(bool durable) {
+// A ledger whose disk may fail and whose process may restart.
+struct LedgerFixture {
+  explicit LedgerFixture(bool durable) {
     settings.durable = durable;
-    settings.keep = Micros{10'000'000};
-    start();
+    settings.retention = Micros{10'000'000};
+    start_process();
   }
-  void start() {
+  void start_process() {
     incarnations.push_back(incarnations.size() + 1);
     ledger = std::make_unique<LedgerLogic>(
         settings, settings.durable ? incarnations : std::vector<std::uint64_t>{incarnations.back()}, now,
         now.count());
-    std::vector<Record> out;
+    std::vector<LedgerRecord> out;
     for (const auto& [_, record] : disk) ledger->recover(record, out);
-    for (const Record& record : out) put(record);
+    for (const LedgerRecord& record : out) store(record);
   }
-  void put(const Record& record) {
+  void store(const LedgerRecord& record) {
     const std::string key =
-        std::to_string(record.mark) + "/" + std::to_string(record.mark ? 0 : record.key.number);
+        std::to_string(record.watermark) + "/" + std::to_string(record.watermark ? 0 : record.key.number);
     if (record.erase) {
       disk.erase(key);
     } else {
@@ -255,129 +258,132 @@
   LedgerSettings settings;
   Micros now{1'000'000};
   std::vector<std::uint64_t> incarnations;
-  std::map<std::string, Record> disk;
+  std::map<std::string, LedgerRecord> disk;
   std::unique_ptr<LedgerLogic> ledger;
 };
 
 }  // namespace
 
-TEST_CASE("edge: the ledger never lets a load run twice, and never changes what it has told") {
-  rc::prop("random crashes and failing disks", [](bool durable) {
-    LedgerWorld w(durable);
+TEST_CASE("edge: the ledger never lets a load run twice, and never changes a reported outcome") {
+  rc::prop("random crashes and disk failures", [](bool durable) {
+    LedgerFixture fixture(durable);
     std::map<std::uint64_t, int> runs;
-    std::map<std::uint64_t, Outcome> told;
-    std::map<std::uint64_t, std::uint64_t> first;
+    std::map<std::uint64_t, Outcome> reported;
+    std::map<std::uint64_t, std::uint64_t> first_incarnations;
     std::uint64_t request = 0;
     for (int i = *rc::gen::inRange(0, 150); i > 0; --i) {
       const auto number = *rc::gen::inRange<std::uint64_t>(1, 6);
-      const Key key{0, "d", number};
-      const int what = *rc::gen::inRange(0, 10);
-      if (what < 7) {
-        const auto sent = first.try_emplace(number, w.incarnations.back()).first->second;
+      const RequestKey key{0, "d", number};
+      const int choice = *rc::gen::inRange(0, 10);
+      if (choice < 7) {
+        const auto first_incarnation =
+            first_incarnations.try_emplace(number, fixture.incarnations.back()).first->second;
         Outcome outcome;
-        const auto answer = w.ledger->look(key, number * 11, true, sent, outcome);
-        if (answer == LedgerLogic::Answer::kOutcome) {
-          // What could not be recorded is refused while this process lives; the next one knows nothing of it.
-          if (outcome.how == Outcome::How::kRefused) continue;
-          if (told.contains(number) && told[number].how != Outcome::How::kUnknown && durable)
-            RC_ASSERT(outcome.how == told[number].how || outcome.how == Outcome::How::kUnknown);
-          if (told.contains(number) && told[number].how == Outcome::How::kUnknown)
-            RC_ASSERT(outcome.how == Outcome::How::kUnknown);  // once and for good
-          if (durable && told.contains(number)) RC_ASSERT(outcome == told[number]);
-          told[number] = outcome;
+        const auto answer = fixture.ledger->lookup(key, number * 11, true, first_incarnation, outcome);
+        if (answer == LedgerLogic::Lookup::kOutcome) {
+          // An unrecorded request is refused only while this process lives; the next does not know it.
+          if (outcome.status == Outcome::Status::kRefused) continue;
+          if (reported.contains(number) && reported[number].status != Outcome::Status::kUnknown && durable)
+            RC_ASSERT(outcome.status == reported[number].status ||
+                      outcome.status == Outcome::Status::kUnknown);
+          if (reported.contains(number) && reported[number].status == Outcome::Status::kUnknown)
+            RC_ASSERT(outcome.status == Outcome::Status::kUnknown);  // unknown is final
+          if (durable && reported.contains(number)) RC_ASSERT(outcome == reported[number]);
+          reported[number] = outcome;
           continue;
         }
-        if (answer != LedgerLogic::Answer::kRun) continue;
-        std::vector<Record> out;
-        const bool wait = w.ledger->take(key, number * 11, true, ++request, out);
-        RC_ASSERT(wait == durable);
-        if (wait) {
-          const int disk = *rc::gen::inRange(0, 6);
-          if (disk == 0) {  // it dies before the record is there
-            w.start();
+        if (answer != LedgerLogic::Lookup::kRun) continue;
+        std::vector<LedgerRecord> out;
+        const bool must_record_first = fixture.ledger->add_entry(key, number * 11, true, ++request, out);
+        RC_ASSERT(must_record_first == durable);
+        if (must_record_first) {
+          const int record_fault = *rc::gen::inRange(0, 6);
+          if (record_fault == 0) {  // the process dies before the record is durable
+            fixture.start_process();
             continue;
           }
-          if (disk == 1) {  // the disk is full
-            const Outcome refused{Outcome::How::kRefused, true, Micros{0}, 0, 0, 0};
-            w.ledger->not_recorded(key, refused);
+          if (record_fault == 1) {  // the disk is full
+            const Outcome refused{Outcome::Status::kRefused, true, Micros{0}, 0, 0, 0};
+            fixture.ledger->refuse_unrecorded(key, refused);
             Outcome again;
-            RC_ASSERT(w.ledger->look(key, number * 11, true, sent, again) == LedgerLogic::Answer::kOutcome);
+            RC_ASSERT(fixture.ledger->lookup(key, number * 11, true, first_incarnation, again) ==
+                      LedgerLogic::Lookup::kOutcome);
             RC_ASSERT(again == refused);
-            RC_ASSERT(!w.ledger->dispatched(key));
+            RC_ASSERT(!fixture.ledger->mark_dispatched(key));
             continue;
           }
-          w.put(out.at(0));
-          if (disk == 2) {  // it dies just after
-            w.start();
+          fixture.store(out.at(0));
+          if (record_fault == 2) {  // the process dies just after
+            fixture.start_process();
             continue;
           }
-          RC_ASSERT(w.ledger->dispatched(key));
+          RC_ASSERT(fixture.ledger->mark_dispatched(key));
         }
         ++runs[number];
         RC_ASSERT(runs[number] <= 1);
-        if (*rc::gen::inRange(0, 4) == 0) {  // it dies while the load runs
-          w.start();
+        if (*rc::gen::inRange(0, 4) == 0) {  // the process dies while the load runs
+          fixture.start_process();
           continue;
         }
         out.clear();
-        Outcome outcome_now{Outcome::How::kServed, false, Micros{0}, request, 7, 70};
-        if (w.ledger->answered(key, outcome_now, out)) {
-          const int disk2 = *rc::gen::inRange(0, 4);
-          if (disk2 == 0) {  // between the answer and its record
-            w.start();
+        Outcome served{Outcome::Status::kServed, false, Micros{0}, request, 7, 70};
+        if (fixture.ledger->set_outcome(key, served, out)) {
+          const int answer_fault = *rc::gen::inRange(0, 4);
+          if (answer_fault == 0) {  // the process dies between the answer and its record
+            fixture.start_process();
             continue;
           }
-          const bool good = disk2 > 1;
-          if (good) w.put(out.at(0));
-          told[number] = *w.ledger->told(key, good);
+          const bool good = answer_fault > 1;
+          if (good) fixture.store(out.at(0));
+          reported[number] = *fixture.ledger->finalize_outcome(key, good);
         } else {
-          told[number] = *w.ledger->told(key, true);
+          reported[number] = *fixture.ledger->finalize_outcome(key, true);
         }
-      } else if (what == 7) {
-        w.start();
+      } else if (choice == 7) {
+        fixture.start_process();
       } else {
-        w.now += Micros{*rc::gen::inRange(0, 6'000'000)};
-        std::vector<Record> out;
-        w.ledger->advance(w.now, w.now.count(), out);
-        for (const Record& record : out) w.put(record);
-        // What has lived its time is too old, and stays so over restarts where there is a disk.
-        for (auto at = told.begin(); at != told.end();) {
-          at = w.ledger->fate({0, "d", at->first}) ? std::next(at) : told.erase(at);
+        fixture.now += Micros{*rc::gen::inRange(0, 6'000'000)};
+        std::vector<LedgerRecord> out;
+        fixture.ledger->advance(fixture.now, fixture.now.count(), out);
+        for (const LedgerRecord& record : out) fixture.store(record);
+        // An expired entry is too old, and with a disk remains so across restarts.
+        for (auto at = reported.begin(); at != reported.end();) {
+          at = fixture.ledger->state_of({0, "d", at->first}) ? std::next(at) : reported.erase(at);
         }
       }
     }
   });
 }
 
-TEST_CASE("edge: a key with another statement, and one whose entry has gone, are refused by name") {
-  LedgerWorld w(true);
-  const Key key{0, "d", 5};
+TEST_CASE("edge: the ledger tells a key reused for another statement and an expired key apart") {
+  LedgerFixture fixture(true);
+  const RequestKey key{0, "d", 5};
   Outcome outcome;
-  std::vector<Record> out;
-  REQUIRE(w.ledger->look(key, 1, true, 1, outcome) == LedgerLogic::Answer::kRun);
-  w.ledger->take(key, 1, true, 9, out);
-  CHECK(w.ledger->look(key, 2, true, 1, outcome) == LedgerLogic::Answer::kOther);
-  CHECK(w.ledger->look(key, 1, true, 1, outcome) == LedgerLogic::Answer::kSame);
-  w.put(out.at(0));
-  w.ledger->dispatched(key);
+  std::vector<LedgerRecord> out;
+  REQUIRE(fixture.ledger->lookup(key, 1, true, 1, outcome) == LedgerLogic::Lookup::kRun);
+  fixture.ledger->add_entry(key, 1, true, 9, out);
+  CHECK(fixture.ledger->lookup(key, 2, true, 1, outcome) == LedgerLogic::Lookup::kOtherStatement);
+  CHECK(fixture.ledger->lookup(key, 1, true, 1, outcome) == LedgerLogic::Lookup::kInProgress);
+  fixture.store(out.at(0));
+  fixture.ledger->mark_dispatched(key);
   out.clear();
-  w.ledger->answered(key, {Outcome::How::kServed, false, Micros{0}, 9, 0, 0}, out);
-  w.put(out.at(0));
-  w.ledger->told(key, true);
-  CHECK(w.ledger->look(key, 1, true, 1, outcome) == LedgerLogic::Answer::kOutcome);
-  w.now += Micros{11'000'000};
+  fixture.ledger->set_outcome(key, {Outcome::Status::kServed, false, Micros{0}, 9, 0, 0}, out);
+  fixture.store(out.at(0));
+  fixture.ledger->finalize_outcome(key, true);
+  CHECK(fixture.ledger->lookup(key, 1, true, 1, outcome) == LedgerLogic::Lookup::kOutcome);
+  fixture.now += Micros{11'000'000};
   out.clear();
-  w.ledger->advance(w.now, w.now.count(), out);
-  for (const Record& record : out) w.put(record);
-  CHECK(w.ledger->size() == 0);
-  CHECK(w.ledger->look(key, 1, true, 1, outcome) == LedgerLogic::Answer::kTooOld);
-  CHECK(w.ledger->look({0, "d", 4}, 1, true, 1, outcome) == LedgerLogic::Answer::kTooOld);
-  CHECK(w.ledger->look({0, "d", 6}, 1, true, 1, outcome) == LedgerLogic::Answer::kRun);
-  w.start();
-  CHECK(w.ledger->look(key, 1, true, 1, outcome) == LedgerLogic::Answer::kTooOld);
+  fixture.ledger->advance(fixture.now, fixture.now.count(), out);
+  for (const LedgerRecord& record : out) fixture.store(record);
+  CHECK(fixture.ledger->size() == 0);
+  CHECK(fixture.ledger->lookup(key, 1, true, 1, outcome) == LedgerLogic::Lookup::kTooOld);
+  CHECK(fixture.ledger->lookup({0, "d", 4}, 1, true, 1, outcome) == LedgerLogic::Lookup::kTooOld);
+  CHECK(fixture.ledger->lookup({0, "d", 6}, 1, true, 1, outcome) == LedgerLogic::Lookup::kRun);
+  fixture.start_process();
+  CHECK(fixture.ledger->lookup(key, 1, true, 1, outcome) == LedgerLogic::Lookup::kTooOld);
 }
 
-TEST_CASE("edge: some hundreds of seeds of devices on bad links, with crashes and failing disks") {
+TEST_CASE("edge: simulated devices on bad links, with crashes and disk failures, over many seeds") {
   std::uint64_t requests = 0, unknown = 0, crashes = 0, cuts = 0, resumes = 0, loads = 0;
   for (std::uint64_t seed = 1; seed <= STEPRAIL_SEEDS; ++seed) {
     SimOptions options;
@@ -385,13 +391,14 @@
     options.durable = seed % 4 != 0;
     const SimResult result = simulate(options);
     INFO("steprail_lab edge-sim --seed " << seed << (options.durable ? "" : " --memory") << '\n'
-                                         << shown(result));
-    REQUIRE(result.faults.empty());
+                                         << describe(result));
+    REQUIRE(result.violations.empty());
     REQUIRE(result.answers == result.requests);
-    requests += result.requests, unknown += result.unknown, crashes += result.crashes, cuts += result.cuts;
+    requests += result.requests, unknown += result.unknown_outcomes, crashes += result.crashes,
+        cuts += result.link_failures;
     resumes += result.resumes, loads += result.loads;
   }
-  // The rare paths were there.
+  // The rare paths were exercised.
   CHECK(crashes > STEPRAIL_SEEDS);
   CHECK(cuts > 10 * STEPRAIL_SEEDS);
   CHECK(resumes > STEPRAIL_SEEDS);
@@ -399,7 +406,7 @@
   CHECK(unknown < loads / 4);
 }
 
-TEST_CASE("edge: one seed is one history") {
+TEST_CASE("edge: a seed determines the history") {
   SimOptions options;
   options.seed = 77;
   const auto a = simulate(options), b = simulate(options);
@@ -408,34 +415,36 @@
   CHECK(simulate(options).digest != a.digest);
 }
 
-TEST_CASE("edge: the checker catches what is deliberately broken") {
+TEST_CASE("edge: the checker detects the deliberately broken variants") {
   SimOptions options;
   options.record_after_dispatch = true;
-  const auto late = caught(options, 400);
+  const auto recorded_late = first_detected_seed(options, 400);
   options = {};
   options.trust_acknowledgements = true;
-  const auto trusting = caught(options, 400);
+  const auto acks_trusted = first_detected_seed(options, 400);
   options = {};
   options.durable = false;
   options.ignore_incarnation = true;
-  const auto forgetful = caught(options, 400);
-  WARN("caught at seed: record after dispatch " << late << ", acknowledgements trusted " << trusting
-                                                << ", incarnation ignored " << forgetful);
-  CHECK(late > 0);
-  CHECK(trusting > 0);
-  CHECK(forgetful > 0);
+  const auto incarnation_ignored = first_detected_seed(options, 400);
+  WARN("detected at seed: record after dispatch " << recorded_late << ", acknowledgements trusted "
+                                                  << acks_trusted << ", incarnation ignored "
+                                                  << incarnation_ignored);
+  CHECK(recorded_late > 0);
+  CHECK(acks_trusted > 0);
+  CHECK(incarnation_ignored > 0);
 }
 
-// Guards against rows that pile up for devices that do not take them.
-TEST_CASE("edge: a thousand slow devices with 10 MB of rows each stay within the bounds, and all get on") {
+// Guards against unbounded buffering of rows for devices that do not read them.
+TEST_CASE(
+    "edge: a thousand slow devices with 10 MB of rows each stay within the memory limit, and all progress") {
   EdgeSettings settings;
-  settings.once = {{"report", false}};
-  settings.gate.rate = settings.gate.burst = 1e6;
+  settings.at_most_once = {{"report", false}};
+  settings.admission.rate_per_second = settings.admission.burst = 1e6;
   settings.memory.most = 8u << 20;
   settings.window = 64 << 10;
-  settings.page_most = 32 << 10;
-  EdgeLogic logic(settings, Sealer({}), {1}, 7, Micros{0}, 0);
-  std::vector<Act> acts;
+  settings.max_page_bytes = 32 << 10;
+  EdgeLogic logic(settings, TokenSigner({}), {1}, 7, Micros{0}, 0);
+  std::vector<EdgeAction> actions;
   std::map<ConnId, Seq> have;
   std::map<ConnId, std::uint64_t> got;
   Micros now{0};
@@ -443,120 +452,123 @@
   constexpr std::uint64_t kRow = 100, kRows = 100'000;
   std::uint64_t peak = 0;
   const auto carry_out = [&] {
-    for (std::size_t i = 0; i < acts.size(); ++i) {
-      const Act act = acts[i];
-      if (const auto* submit = std::get_if<Submit>(&act)) {
-        logic.answered(submit->request,
-                       {Outcome::How::kServed, false, Micros{0}, submit->request, kRows, kRows * kRow}, now,
-                       acts);
-      } else if (const auto* fetch = std::get_if<Fetch>(&act)) {
-        const std::uint64_t count =
-            std::min<std::uint64_t>(std::max<std::uint64_t>(1, fetch->bytes / kRow), kRows - fetch->row);
-        logic.rows({fetch->session, fetch->request, fetch->row, count,
-                    std::make_shared<const std::string>(count * kRow, 'r'), fetch->row + count == kRows},
-                   now, acts);
-      } else if (const auto* down = std::get_if<ToDevice>(&act)) {
-        if (down->frame.type == Frame::Type::kMessage) {
-          have[down->conn] = down->frame.seq + 1;
-          got[down->conn] += down->frame.body.count;
+    for (std::size_t i = 0; i < actions.size(); ++i) {
+      const EdgeAction action = actions[i];
+      if (const auto* submit = std::get_if<SubmitRequest>(&action)) {
+        logic.on_outcome(submit->request,
+                         {Outcome::Status::kServed, false, Micros{0}, submit->request, kRows, kRows * kRow},
+                         now, actions);
+      } else if (const auto* fetch = std::get_if<FetchRows>(&action)) {
+        const std::uint64_t count = std::min<std::uint64_t>(
+            std::max<std::uint64_t>(1, fetch->page_bytes / kRow), kRows - fetch->first_row);
+        logic.on_rows(
+            {fetch->session, fetch->request, fetch->first_row, count,
+             std::make_shared<const std::string>(count * kRow, 'r'), fetch->first_row + count == kRows},
+            now, actions);
+      } else if (const auto* sent = std::get_if<SendFrame>(&action)) {
+        if (sent->frame.type == Frame::Type::kMessage) {
+          have[sent->conn] = sent->frame.seq + 1;
+          got[sent->conn] += sent->frame.body.row_count;
         }
       }
       peak = std::max(peak, logic.memory().used());
     }
-    acts.clear();
+    actions.clear();
   };
   for (ConnId conn = 1; conn <= kDevices; ++conn) {
-    logic.opened(conn, now);
+    logic.on_open(conn, now);
     Frame hello;
     hello.type = Frame::Type::kHello;
     hello.device = "d" + std::to_string(conn);
-    logic.heard(conn, hello, now, acts);
+    logic.on_frame(conn, hello, now, actions);
     Frame ask;
     ask.type = Frame::Type::kMessage;
-    ask.seq = ask.have = 1;
+    ask.seq = ask.next_expected = 1;
     ask.body.kind = Body::Kind::kRequest;
     ask.body.key = 1;
-    ask.body.first = 1;
+    ask.body.first_incarnation = 1;
     ask.body.verb = "report";
     ask.body.statement = "select 1";
-    logic.heard(conn, ask, now, acts);
+    logic.on_frame(conn, ask, now, actions);
     carry_out();
   }
-  CHECK(peak <= settings.memory.most + settings.page_most);
+  CHECK(peak <= settings.memory.most + settings.max_page_bytes);
   CHECK(logic.memory().used() > settings.memory.most / 2);
-  // Some of them take what they have, a little at a time: the budget goes round, and reaches each of them.
+  // The devices acknowledge what they have, step by step: each of them gets its share of the budget.
   for (int round = 0; round < 400; ++round) {
     now += Micros{50'000};
     for (ConnId conn = 1; conn <= kDevices; ++conn) {
       if (!have.contains(conn)) continue;
       Frame ack;
       ack.type = Frame::Type::kAck;
-      ack.have = have[conn];
-      logic.heard(conn, ack, now, acts);
+      ack.next_expected = have[conn];
+      logic.on_frame(conn, ack, now, actions);
       carry_out();
     }
   }
-  CHECK(peak <= settings.memory.most + settings.page_most);
-  std::uint64_t least = kRows;
-  for (ConnId conn = 1; conn <= kDevices; ++conn) least = std::min(least, got[conn]);
-  CHECK(least > 0);
-  for (ConnId conn = 1; conn <= kDevices; ++conn) logic.closed(conn, now, acts);
-  acts.clear();
+  CHECK(peak <= settings.memory.most + settings.max_page_bytes);
+  std::uint64_t min_rows = kRows;
+  for (ConnId conn = 1; conn <= kDevices; ++conn) min_rows = std::min(min_rows, got[conn]);
+  CHECK(min_rows > 0);
+  for (ConnId conn = 1; conn <= kDevices; ++conn) logic.on_close(conn, now, actions);
+  actions.clear();
   CHECK(logic.memory().used() == 0);
 }
 
-// Guards against a replay window that grows with every refusal to a device that acknowledges none.
-// Guards against a device's only session leaving its place in a table that is still being read (sanitizers
-// see it).
-TEST_CASE("edge: where a device may have one session, each new one takes the place of the one before") {
+// Guards against a use after free: expiring a device's only session erases the device's list of sessions,
+// which the caller was still reading (visible to sanitizers).
+TEST_CASE("edge: with a limit of one session per device, each new session replaces the one before") {
   EdgeSettings settings;
-  settings.sessions_device = 1;
-  EdgeLogic logic(settings, Sealer({}), {1}, 7, Micros{0}, 0);
-  std::vector<Act> acts;
+  settings.max_sessions_per_device = 1;
+  EdgeLogic logic(settings, TokenSigner({}), {1}, 7, Micros{0}, 0);
+  std::vector<EdgeAction> actions;
   for (ConnId conn = 1; conn <= 50; ++conn) {
     Frame hello;
     hello.type = Frame::Type::kHello;
     hello.device = "a tablet whose name is not a short one";
-    logic.opened(conn, Micros{static_cast<std::int64_t>(conn)});
-    logic.heard(conn, hello, Micros{static_cast<std::int64_t>(conn)}, acts);
-    CHECK(logic.sessions() == 1);
-    CHECK(logic.live() == 1);
+    logic.on_open(conn, Micros{static_cast<std::int64_t>(conn)});
+    logic.on_frame(conn, hello, Micros{static_cast<std::int64_t>(conn)}, actions);
+    CHECK(logic.session_count() == 1);
+    CHECK(logic.connected_count() == 1);
   }
-  CHECK(logic.counts().sessions_begun == 50);
-  CHECK(logic.counts().expired == 49);
+  CHECK(logic.counters().sessions_begun == 50);
+  CHECK(logic.counters().expired == 49);
 }
 
-TEST_CASE("edge: a device that asks on and acknowledges nothing is cut off, and its window stays bounded") {
+// Guards against a replay window that grows with every refusal to a device that acknowledges none.
+TEST_CASE(
+    "edge: a device that sends requests and acknowledges nothing is disconnected, and its window stays "
+    "bounded") {
   EdgeSettings settings;
-  settings.once = {{"report", false}};
-  EdgeLogic logic(settings, Sealer({}), {1}, 7, Micros{0}, 0);
-  std::vector<Act> acts;
-  logic.opened(1, Micros{0});
+  settings.at_most_once = {{"report", false}};
+  EdgeLogic logic(settings, TokenSigner({}), {1}, 7, Micros{0}, 0);
+  std::vector<EdgeAction> actions;
+  logic.on_open(1, Micros{0});
   Frame hello;
   hello.type = Frame::Type::kHello;
   hello.device = "d";
-  logic.heard(1, hello, Micros{0}, acts);
-  Seq most = 0;
-  bool cut = false;
-  for (Seq n = 1; n <= 5000 && !cut; ++n) {
+  logic.on_frame(1, hello, Micros{0}, actions);
+  Seq max_seq = 0;
+  bool disconnected = false;
+  for (Seq n = 1; n <= 5000 && !disconnected; ++n) {
     Frame ask;
     ask.type = Frame::Type::kMessage;
     ask.seq = n;
-    ask.have = 1;
+    ask.next_expected = 1;
     ask.body.kind = Body::Kind::kRequest;
     ask.body.key = n;
-    ask.body.first = 1;
+    ask.body.first_incarnation = 1;
     ask.body.verb = "report";
     ask.body.statement = "select 1";
-    logic.heard(1, ask, Micros{0}, acts);
-    for (const Act& act : acts) {
-      if (const auto* down = std::get_if<ToDevice>(&act)) {
-        if (down->frame.type == Frame::Type::kMessage) most = std::max(most, down->frame.seq);
-        cut |= down->frame.code == "unread";
+    logic.on_frame(1, ask, Micros{0}, actions);
+    for (const EdgeAction& action : actions) {
+      if (const auto* sent = std::get_if<SendFrame>(&action)) {
+        if (sent->frame.type == Frame::Type::kMessage) max_seq = std::max(max_seq, sent->frame.seq);
+        disconnected |= sent->frame.code == "unread";
       }
     }
-    acts.clear();
+    actions.clear();
   }
-  CHECK(cut);
-  CHECK(most <= 8 * settings.asks_most + 1);
+  CHECK(disconnected);
+  CHECK(max_seq <= 8 * settings.max_open_requests + 1);
 }
--- a/tests/edge/story_test.cpp
+++ b/tests/edge/story_test.cpp
@@ -16,7 +16,7 @@
 using namespace steprail;
 using namespace steprail::standin;
 using By = EdgeClient::By;
-using How = edge::Outcome::How;
+using How = edge::Outcome::Status;
 using std::chrono::milliseconds;
 
 Site::Options options(const std::string& more = {}) {
@@ -64,8 +64,8 @@
     tablet.client.connect();
     const auto key = tablet.client.ask("report", "select * from lessons_3.hours", 20000);
     REQUIRE(site.until([&] { return tablet.device.idle(); }));
-    CHECK(tablet.at(key).outcome.how == How::kServed);
-    CHECK(tablet.at(key).finals == 1);
+    CHECK(tablet.at(key).outcome.status == How::kServed);
+    CHECK(tablet.at(key).final_answers == 1);
     CHECK(tablet.at(key).rows == whole(*site.script, last_id(site), 1));
     // Let go by the last acknowledgement, long before its time is over.
     REQUIRE(site.until([&] { return site.server->spool()->bytes_held() == 0; }, std::chrono::seconds(8)));
@@ -130,10 +130,10 @@
         INFO("cut at byte " << cuts[i].first << (cuts[i].second ? " of the way up" : " of the way down"));
         const Device::Request& request = tablets[i - from]->at(1);
         INFO("code '" << request.code << "', rows told " << request.outcome.rows);
-        CHECK(request.finals == 1);
-        CHECK(request.outcome.how == How::kServed);
-        CHECK(request.have_rows == 4);
-        CHECK_FALSE(request.wrong);
+        CHECK(request.final_answers == 1);
+        CHECK(request.outcome.status == How::kServed);
+        CHECK(request.row_count == 4);
+        CHECK_FALSE(request.rows_invalid);
       }
     }
   }
@@ -149,9 +149,10 @@
     REQUIRE(site.until([&] { return tablet.device.idle(); }, std::chrono::seconds(3)));
     // One that comes back leaves a link of its own behind.
     if (i % 3 == 0) tablet.client.drop();
-    if (i % 3 == 0) REQUIRE(site.until([&] { return tablet.device.resumes > 0; }, std::chrono::seconds(3)));
+    if (i % 3 == 0)
+      REQUIRE(site.until([&] { return tablet.device.resume_count > 0; }, std::chrono::seconds(3)));
   }
-  CHECK(site.server->edge()->logic().counts().answers == 60);
+  CHECK(site.server->edge()->logic().counters().answers == 60);
 }
 
 TEST_CASE(
@@ -168,9 +169,9 @@
   proxy.hole_after(1);
   const auto key = tablet.client.ask("load", "insert into lessons_3.hours", 600);
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
-  CHECK(tablet.at(key).finals == 1);
-  CHECK(tablet.at(key).outcome.how == How::kFailed);
-  CHECK_FALSE(tablet.at(key).outcome.again);
+  CHECK(tablet.at(key).final_answers == 1);
+  CHECK(tablet.at(key).outcome.status == How::kFailed);
+  CHECK_FALSE(tablet.at(key).outcome.retry_safe);
   CHECK(tablet.client.connects() > 1);
   CHECK(total_runs(site) == 1);
 }
@@ -192,16 +193,16 @@
   proxy.hole_after(2000);  // some of the rows still pass
   const auto key = tablet.client.ask("report", "select * from lessons_3.hours", 15000);
   REQUIRE(site.until([&] { return site.server->edge()->logic().memory().used() > 0; }));
-  REQUIRE(site.until([&] { return site.server->edge()->logic().counts().suspected == 1; }));
-  CHECK(site.server->edge()->logic().live() == 0);
+  REQUIRE(site.until([&] { return site.server->edge()->logic().counters().suspected == 1; }));
+  CHECK(site.server->edge()->logic().connected_count() == 0);
   CHECK(site.server->edge()->logic().memory().used() == 0);
   CHECK_FALSE(tablet.device.idle());
   // It comes back by itself later, and goes on where the link broke off.
   tablet.client.drop();
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
-  CHECK(tablet.at(key).finals == 1);
+  CHECK(tablet.at(key).final_answers == 1);
   CHECK(tablet.at(key).rows == whole(*site.script, last_id(site), 1));
-  CHECK(tablet.device.sessions == 1);
+  CHECK(tablet.device.session_count == 1);
   CHECK(total_runs(site) == 1);
 }
 
@@ -217,8 +218,8 @@
   second.client.connect();
   REQUIRE(second.client.ask("load", "insert into lessons_3.hours", 9000) == key);
   REQUIRE(site.until([&] { return second.device.idle(); }));
-  CHECK(second.at(key).outcome.how == How::kServed);
-  CHECK(second.at(key).finals == 1);
+  CHECK(second.at(key).outcome.status == How::kServed);
+  CHECK(second.at(key).final_answers == 1);
   CHECK(total_runs(site) == 1);
   // With another statement the key is refused by name.
   Tablet third(site, "tablet");
@@ -237,13 +238,13 @@
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
   for (const By by : {By::kPoll, By::kWebSocketCbor, By::kPoll, By::kWebSocketJson}) {
     tablet.client.use(by);
-    const auto before = tablet.device.resumes;
+    const auto before = tablet.device.resume_count;
     tablet.client.drop();
     tablet.client.ask("report", "select 1 from a_1.t", 9000);
-    REQUIRE(site.until([&] { return tablet.device.idle() && tablet.device.resumes > before; }));
+    REQUIRE(site.until([&] { return tablet.device.idle() && tablet.device.resume_count > before; }));
   }
-  CHECK(tablet.device.sessions == 1);
-  for (const auto& [_, request] : tablet.device.requests()) CHECK(request.finals == 1);
+  CHECK(tablet.device.session_count == 1);
+  for (const auto& [_, request] : tablet.device.requests()) CHECK(request.final_answers == 1);
 }
 
 TEST_CASE("edge: killed between dispatch and answer, the load's outcome is unknown once and for good") {
@@ -265,8 +266,8 @@
     site.start();
     tablet.client.set_target(site.server->edge_endpoint());
     REQUIRE(site.until([&] { return tablet.device.idle(); }));
-    CHECK(tablet.at(key).outcome.how == How::kUnknown);
-    CHECK(tablet.at(key).finals == 1);
+    CHECK(tablet.at(key).outcome.status == How::kUnknown);
+    CHECK(tablet.at(key).final_answers == 1);
     // Another life of the device asks again, after another restart: nothing else is ever said, and nothing
     // runs.
     site.kill();
@@ -278,7 +279,7 @@
     if (durable) {
       again.client.ask("load", "insert into lessons_3.hours", 9000);
       REQUIRE(site.until([&] { return again.device.idle(); }));
-      CHECK(again.at(key).outcome.how == How::kUnknown);
+      CHECK(again.at(key).outcome.status == How::kUnknown);
     }
     CHECK(total_runs(site) == 1);
   }
@@ -304,7 +305,7 @@
   proxy.hole_after(1);
   const auto key = tablet.client.ask("load", "insert into lessons_3.hours", 15000);
   REQUIRE(site.until([&] {
-    return site.server->edge()->logic().counts().answers == 1 &&
+    return site.server->edge()->logic().counters().answers == 1 &&
            site.server->spool()->logic().disk().used() > 0 && site.server->spool()->disk_idle();
   }));
   const std::string id = last_id(site);
@@ -313,8 +314,8 @@
   tablet.client.set_target(site.server->edge_endpoint());
   tablet.client.drop();
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
-  CHECK(tablet.at(key).outcome.how == How::kServed);
-  CHECK(tablet.at(key).finals == 1);
+  CHECK(tablet.at(key).outcome.status == How::kServed);
+  CHECK(tablet.at(key).final_answers == 1);
   CHECK(tablet.at(key).rows == whole(*site.script, id, 1));
   CHECK(total_runs(site) == 1);
 }
@@ -328,12 +329,12 @@
   const auto load = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(load).code == "not-recorded");
-  CHECK(tablet.at(load).outcome.again);
+  CHECK(tablet.at(load).outcome.retry_safe);
   CHECK(total_runs(site) == 0);
   // There is room again; after a write that has failed outright there is none for good.
   const auto next = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
-  CHECK(tablet.at(next).outcome.how == How::kServed);
+  CHECK(tablet.at(next).outcome.status == How::kServed);
   disk->fail_at(disk->operations() + 1, FaultyDisk::Fault::kEio);
   for (int i = 0; i < 2; ++i) {
     const auto other = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
@@ -342,7 +343,7 @@
   }
   const auto lookup = tablet.client.ask("lookup", "select 1 from a_1.t", 9000);
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
-  CHECK(tablet.at(lookup).outcome.how == How::kServed);
+  CHECK(tablet.at(lookup).outcome.status == How::kServed);
   CHECK(total_runs(site) == 2);
 }
 
@@ -354,7 +355,7 @@
   tablet.client.connect();
   const auto key = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
-  CHECK(tablet.at(key).outcome.how == How::kUnknown);
+  CHECK(tablet.at(key).outcome.status == How::kUnknown);
   CHECK(total_runs(site) == 1);
 }
 
@@ -387,10 +388,10 @@
   tablet.client.set_target(site.server->edge_endpoint());
   tablet.client.ask("load", "insert into lessons_3.hours", 9000);
   const auto sent_then = tablet.device.requests().rbegin()->first;
-  tablet.device.set_first(sent_then, 12345);
+  tablet.device.set_first_incarnation(sent_then, 12345);
   tablet.client.connect();
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
-  CHECK(tablet.at(sent_then).outcome.how == How::kUnknown);
+  CHECK(tablet.at(sent_then).outcome.status == How::kUnknown);
   CHECK(total_runs(site) == 0);
   // A token of another device, or one that was changed, opens nothing.
   Tablet thief(site, "other");
@@ -411,8 +412,8 @@
   REQUIRE(site.until([&] { return tablet.device.draining; }));
   const auto late = tablet.client.ask("report", "select 1 from a_1.t", 9000);
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
-  CHECK(tablet.at(key).outcome.how == How::kServed);
-  CHECK(tablet.at(key).have_rows == 300);
+  CHECK(tablet.at(key).outcome.status == How::kServed);
+  CHECK(tablet.at(key).row_count == 300);
   CHECK(tablet.at(late).code == "draining");
   REQUIRE(site.until([&] { return site.server->io().stopped(); }));
 }
@@ -514,10 +515,10 @@
   std::size_t load_runs = 0;
   for (const auto& tablet : tablets) {
     for (const auto& [key, request] : tablet->device.requests()) {
-      CHECK(request.finals == 1);
-      CHECK_FALSE(request.wrong);
-      CHECK(request.outcome.how == How::kServed);
-      CHECK(request.have_rows == 300);
+      CHECK(request.final_answers == 1);
+      CHECK_FALSE(request.rows_invalid);
+      CHECK(request.outcome.status == How::kServed);
+      CHECK(request.row_count == 300);
       load_runs += request.body.verb == "load";
     }
   }
