--- a/bench/routes_bench.cpp
+++ b/bench/routes_bench.cpp
@@ -56,7 +56,7 @@
 
 struct Platform {
   Settings settings = World::usual();
-  Tables tables;
+  NameTables tables;
   Platform() {
     settings.classes.push_back(settings.classes[0]);
     for (const char* name : {"report", "load", "lookup"}) tables.classes.add(name);
@@ -94,9 +94,9 @@
   double amplification{}, goodput_after{};
 };
 Storm storm(std::optional<double> ration, bool quick) {
-  RouteFigures figures;
-  figures.ration = ration;
-  figures.ration_burst = 5;
+  RouteParameters figures;
+  figures.retry_budget_ratio = ration;
+  figures.retry_budget_burst = 5;
   Settings s = World::usual();
   s.classes[0].hard_limit = 4s;
   World world(figures, {}, 4, s);
@@ -104,7 +104,7 @@
   bool fault = true;
   world.fate = [&](int) {
     const bool good = !fault || ++answers % 10 == 0;
-    return World::Fate{{good ? Outcome::kDelivered : Outcome::kDropped, 40ms}};
+    return World::Fate{{good ? Outcome::kDelivered : Outcome::kConnectionLost, 40ms}};
   };
   const int requests = quick ? 2000 : 20'000;
   for (int i = 0; i < requests; ++i) {
@@ -165,7 +165,7 @@
   Platform platform;
   platform.settings.classes[0].late_share = 0.3;
   platform.settings.classes[2].hard_limit = 4s, platform.settings.classes[2].objective = 300ms;
-  platform.settings.extra_ratio = 0.1;
+  platform.settings.retry_budget_ratio = 0.1;
   json out;
   for (const auto& [name, text] : mixes) {
     Traffic traffic;
--- a/examples/example.cpp
+++ b/examples/example.cpp
@@ -1,4 +1,4 @@
-// One engine, one query: the smallest use of the library.
+// Smallest use of the library: one engine and one query. Prints where the query is sent.
 #include <steprail/gateway.h>
 
 #include <cstdio>
@@ -14,8 +14,8 @@
 
   std::vector<Action> actions;
   gateway.handle(0us, Started{}, actions);
-  gateway.handle(0us, ListNews{.mode = ListMode::kFull, .entries = {EngineEntry{}}}, actions);
-  gateway.handle(1ms, Arrival{.id = 7, .left = 3s, .estimate_ms = 40}, actions);
+  gateway.handle(0us, ListUpdate{.mode = ListMode::kFull, .entries = {EngineEntry{}}}, actions);
+  gateway.handle(1ms, Arrival{.id = 7, .remaining = 3s, .estimate_ms = 40}, actions);
   for (const Action& action : actions) {
     if (const auto* send = std::get_if<Send>(&action)) {
       std::printf("send %llu to engine %d\n", static_cast<unsigned long long>(send->id), send->engine);
--- a/include/steprail/gateway.h
+++ b/include/steprail/gateway.h
@@ -1,9 +1,9 @@
-// steprail: the decisions of one gateway in front of a pool of query engines.
+// steprail: the decision module of one gateway in front of a pool of query engines.
 //
-// A Gateway is fed events and appends actions; it has no clock, no thread and no randomness of its own beyond
-// its seed, so equal events give equal actions. Classes, tenants, zones, kinds and engines are indices into
-// the caller's own tables: no name can reach a decision. Times are counted from any fixed origin the caller
-// likes.
+// A Gateway consumes events and appends actions. It has no clock and no thread, and its only randomness comes
+// from its seed, so equal sequences of events give equal actions. Classes, tenants, zones, kinds and engines
+// are indices into the caller's own tables, so that no decision can depend on a name. Points in time are
+// counted from any fixed origin that the caller chooses.
 #pragma once
 
 #include <chrono>
@@ -19,183 +19,221 @@
 using Micros = std::chrono::microseconds;
 using RequestId = std::uint64_t;
 
-enum class Effect { kRepeatable, kByKey, kOnce };  // what a second run of a request would do
-enum class Scope { kAll, kZone, kCell };           // by_key: which engines drop repeats of a request
-enum class Registry { kPush, kAsk };               // how the engine list reaches the gateway
-enum class Reports { kSilent, kPiggyback, kPull };
-enum class Standing { kReady, kDraining, kGone };
+// Whether a request may run a second time: always, where an engine drops the repeat by its key, or never.
+enum class Idempotency { kIdempotent, kByKey, kNone };
+// Idempotency::kByKey: the engines that drop repeats of a request that one of them has run.
+enum class DedupScope { kAll, kZone, kCell };
+// How the engine list reaches the gateway: unasked, or after a Subscribe action.
+enum class RegistryMode { kPush, kSubscribe };
+// How load reports reach the gateway: not at all, with answers, or on request.
+enum class ReportMode { kNone, kPiggyback, kPull };
+enum class EngineStatus { kReady, kDraining, kGone };
 enum class ListMode { kIncremental, kFull, kSaved, kFailed };
-enum class Outcome { kDelivered, kAppError, kShed, kExpired, kDialFailed, kDropped, kRevoked, kUnused };
-enum class Topic { kProgress = 1, kSpills = 2, kWaits = 3 };
+// How an attempt ended. After kRejected, kConnectFailed and kNotSent it is certain that the engine did not
+// run it.
+enum class Outcome {
+  kDelivered,
+  kAppError,  // the engine answered with an error
+  kRejected,  // the engine had no room for it
+  kTimedOut,
+  kConnectFailed,
+  kConnectionLost,
+  kCancelled,
+  kNotSent  // the caller did not send it
+};
+// What a ProgressReport::value means.
+enum class ProgressTopic {
+  kProgress = 1,  // part of the work that is done, 0 to 1
+  kSpill = 2,     // memory overflows to disk
+  kWaiting = 3    // the query is queued; 2 or more: a load holds its table group on the engine
+};
 
+// Properties of the requests of one class. A request's target time is `objective` plus `aim_stretch` times
+// its actual work divided by `threads`.
 struct ClassSettings {
-  Micros objective{0};   // answered within this earns the full worth ...
-  double aim_stretch{};  // ... plus this times the true work over its threads
-  Micros hard_limit{0};  // how long a client waits over all its tries
-  double worth{1};
-  double late_share{};  // of the worth, for an answer after the aim
-  Effect effect{Effect::kRepeatable};
-  Scope dedup_scope{Scope::kAll};
-  Micros dedup_window{0};
-  bool keep_order{};
-  bool streamed{};
-  bool load{};            // holds its group of tables on its engine while it runs
-  bool yields_to_load{};  // stands still while a load holds its group there
+  Micros objective{0};
+  double aim_stretch{};
+  Micros hard_limit{0};  // how long a client waits, over all its retries
+  double worth{1};       // of an answer within the target time
+  double late_share{};   // part of the worth that an answer after the target time has, 0 to 1
+  Idempotency idempotency{Idempotency::kIdempotent};
+  DedupScope dedup_scope{DedupScope::kAll};
+  Micros dedup_window{0};  // how long engines remember a request in order to drop its repeats
+  bool keep_order{};       // requests with equal keys run one at a time, in the order of arrival
+  bool streamed{};         // answers are streamed, see FirstByte
+  bool is_load{};          // occupies its table group on its engine while it runs
+  bool yields_to_load{};   // stands still while a load occupies its table group on its engine
   int threads{1};
-  std::vector<int> zones{};  // empty: any
-  std::vector<int> kinds{};  // empty: any
+  std::vector<int> zones{};  // in which it may run; empty: any
+  std::vector<int> kinds{};  // of engines on which it may run; empty: any
 };
 
 struct TenantSettings {
-  double quota_rps{};  // over all gateways together
-  double share{};
+  double quota_rps{};  // requests per second over all gateways together; 0: no quota
+  double share{};      // relative weight where tenants compete for a route's places, 0 to 1
 };
 
+// A kind of engines.
 struct KindSettings {
   int cores{1};
-  double memory_mb{};  // 0: not told
+  double memory_mb{};  // 0: unknown
 };
 
 struct Settings {
-  int gateways{1};
-  int own_number{0};
-  int own_zone{-1};
+  int gateways{1};   // that share the engines
+  int own_index{0};  // of this one among them
+  int own_zone{-1};  // -1: unknown
   int zone_count{1};
   std::vector<ClassSettings> classes{};
   std::vector<TenantSettings> tenants{};  // may be empty
   std::vector<KindSettings> kinds{};
-  Registry registry{Registry::kPush};
-  Reports reports{Reports::kSilent};
+  RegistryMode registry_mode{RegistryMode::kPush};
+  ReportMode report_mode{ReportMode::kNone};
   bool may_cancel{};
   bool may_probe{};
-  bool may_duplicate{};
-  bool retry_after{};
+  bool may_duplicate{};         // not read: no request has two attempts in flight
+  bool may_send_retry_after{};  // a refusal may tell the client when to retry
   Micros max_retry_after{0};
-  int most_tries{1};
-  Micros connect_timeout{0};
-  bool memory_heeded{};
-  bool priority_heeded{};
-  bool tells_cost{};
-  double largest_share{1};  // of an engine's memory, that one query gets at most
-  Micros progress{0};       // between notes of progress; 0: none come
-  double over_share_worth{1};
-  double cross_zone_cost{};
-  double probe_cost{};
-  Micros answer_slack{0};
-  Micros ask_within{0};
-  Micros drain_grace{0};
-  double cold_from{1};
-  Micros cold_for{0};
-  double overload_factor{1};
-  Micros fall_after{0};
-  std::optional<double> extra_ratio{};  // absent: further attempts are not rationed
-  double free_resends{};
-  Micros look_back{0};
-  Micros settle_after_doubt{0};
+  int max_attempts{1};          // of one request
+  Micros connect_timeout{0};    // for the caller's connections to engines
+  bool honors_memory{};         // engines heed SetResources::memory_mb
+  bool honors_priority{};       // engines heed SetResources::priority
+  bool reports_cost{};          // AttemptClosed has the actual work and memory
+  double max_memory_share{1};   // of an engine's memory, for one query
+  Micros progress_interval{0};  // between progress reports of an attempt; 0: there are none
+  double over_share_worth{1};   // part of the worth that remains for a tenant over its quota, 0 to 1
+  double cross_zone_cost{};     // price of a send to another zone; lowers the probability of such sends
+  double probe_cost{};          // price of a probe
+  Micros answer_slack{0};       // not read by decisions
+  Micros ask_within{0};         // not read by decisions
+  Micros drain_grace{0};        // not read by decisions
+  double slow_start_share{1};   // part of its capacity that an engine has after its start ...
+  Micros slow_start_time{0};    // ... and for how long
+  double overload_factor{1};    // a starting engine is sent at most this times its reduced capacity ...
+  Micros overload_window{0};    // ... in any window of this length, by all gateways together
+  // Retry budget: within any `retry_budget_window` at most `retry_budget_base` further attempts plus
+  // `retry_budget_ratio` for each request that arrived in it. Without a ratio their number is not limited.
+  std::optional<double> retry_budget_ratio{};
+  double retry_budget_base{};
+  Micros retry_budget_window{0};
+  // After an attempt whose effect is unknown, how long its key's next request waits
+  // (ClassSettings::keep_order).
+  Micros settle_time{0};
 };
 
-// Throws std::invalid_argument naming the first field that makes no sense.
+// Throws std::invalid_argument naming the first invalid field. Five fields are named by their keys in the
+// settings file: most_tries (max_attempts), largest_share (max_memory_share), cold_from (slow_start_share),
+// extra_ratio (retry_budget_ratio) and free_resends (retry_budget_base).
 void validate(const Settings& settings);
 
-// ---- Events: what the caller tells the gateway ----
+// ---- Events: what the caller reports to the gateway ----
 
-// First event of a gateway's life. It may answer with timers and a subscription.
+// The first event that a gateway gets. The gateway may respond with timers and a subscription.
 struct Started {};
 
 struct EngineEntry {
-  int engine{};  // the caller's index, equal for the whole life of the gateway
+  int engine{};  // the caller's index; free for another engine once this one is gone
   int zone{};
   int kind{};
-  int cell{};
-  Standing standing{Standing::kReady};
+  int cell{};  // engines of one cell share their record of requests (DedupScope::kCell)
+  EngineStatus status{EngineStatus::kReady};
   double weight{1};
-  Micros came_up{0};  // 0: long ago
-  std::uint64_t
-      name{};  // a hash of its name, equal at every gateway: what they agree on without a word hangs on it
+  Micros started_at{0};  // 0: long ago
+  // Hash of the engine's name. It is equal at every gateway: choices that all gateways make alike without
+  // communicating are derived from it.
+  std::uint64_t name_hash{};
 };
 
-// News of the engine list. A full or saved list removes every engine it does not hold.
-struct ListNews {
+// A change of the engine list. A full or saved list removes every engine that it does not contain; kFailed
+// reports that the list could not be had.
+struct ListUpdate {
   ListMode mode{ListMode::kFull};
   std::vector<EngineEntry> entries{};
 };
 
-// What the operator's routes say of the requests that take them; what is absent is as without routes.
-struct RouteFigures {
-  int number{};                    // the same for a route's whole life: its ration goes on over a reload
-  int most_tries{};                // 0: as the settings say, and never more
-  std::vector<Micros> patience{};  // by attempt, the last one for all further ones; empty: the gateway's own
-  Micros pause{0};                 // before a further attempt ...
-  double jitter{};                 // ... give or take this part of it
-  Micros move_after{0};  // an attempt that may run again leaves its engine after so long; 0: never so
-  std::optional<double> ration{};  // further attempts for each first one
-  double ration_burst{};           // and so many ahead of that
-  int pool{-1};                    // of RoutesNews; -1: every engine
-  double memory_mb{};              // for each attempt, where memory is heeded; 0: as the gateway sees fit
-  int priority{-1};                // 0 to 3, where it is heeded; -1: as the gateway sees fit
+// What the operator's file prescribes for the requests of one route. Defaults are as without a route.
+struct RouteParameters {
+  int id{};            // stable over reloads, so that the retry budget carries over
+  int max_attempts{};  // 0: as in Settings, which is the upper bound in any case
+  // By attempt, the last one for all further ones; empty: the gateway's own.
+  std::vector<Micros> attempt_timeouts{};
+  Micros retry_delay{0};  // before a further attempt ...
+  double retry_jitter{};  // ... give or take this part of it, at random
+  // After this time an attempt that is still in flight is cancelled and the request is sent to another
+  // engine, where it is idempotent and has attempts left; 0: never.
+  Micros move_after{0};
+  // Further attempts for each request; absent: the route has no budget of its own.
+  std::optional<double> retry_budget_ratio{};
+  double retry_budget_burst{};  // most that the budget holds, and what it starts with
+  int pool{-1};                 // index into RoutesUpdate::pools; -1: every engine
+  double memory_mb{};           // for each attempt, where engines honor it; 0: the gateway decides
+  int priority{-1};             // 0 to 3, where engines honor it; -1: the gateway decides
 };
 
-// The routes as they are from now on; requests that are open keep the figures with which they came, and the
-// pools as they are now.
-struct RoutesNews {
-  std::vector<std::shared_ptr<const RouteFigures>> routes{};
-  std::vector<std::vector<bool>> pools{};  // by engine; one that lies beyond is no member
+// Replaces all routes and pools. Requests that are open keep the parameters with which they came; the pools
+// apply to them as they are now.
+struct RoutesUpdate {
+  std::vector<std::shared_ptr<const RouteParameters>> routes{};
+  std::vector<std::vector<bool>> pools{};  // by pool, then by engine; an engine beyond the end is no member
 };
 
-// A client's request; the gateway owes it one final answer before `left` has passed.
+// A client's request. The gateway owes it one final answer before `remaining` has passed.
 struct Arrival {
   RequestId id{};
   int cls{};
   int tenant{-1};
-  std::optional<std::uint64_t> key{};  // requests of ordered classes with equal keys run in turn
-  Micros left{0};
-  double estimate_ms{};  // work of all threads together; 0, negative or not finite: no estimate
-  double memory_mb{};    // likewise
-  int group{-1};         // group of tables
-  bool resent{};
-  int route{-1};    // of RoutesNews; -1: none
-  bool no_place{};  // its route has none for it now
+  // Of a class with ClassSettings::keep_order: requests with equal keys run one at a time.
+  std::optional<std::uint64_t> key{};
+  Micros remaining{0};   // time until the deadline
+  double estimate_ms{};  // work of all threads together; not positive or not finite: no estimate
+  double memory_mb{};    // estimate; not positive or not finite: none
+  int table_group{-1};   // -1: none
+  bool client_retry{};   // the client sent it again
+  int route{-1};         // index into RoutesUpdate::routes; -1: none
+  bool route_full{};     // its route is at its limit; the request is refused
 };
 
-// The client quit; attempts still out are closed one by one afterwards.
+// The client is gone and needs no answer. An attempt in flight is still reported by its AttemptClosed.
 struct ClientGone {
   RequestId id{};
 };
 
-// A streamed answer has begun: the attempt belongs to the client now.
+// The client has the first byte of a streamed answer, so the attempt can no longer be replaced by another
+// one.
 struct FirstByte {
   RequestId id{};
   int attempt{};
 };
 
+// Load of an engine; absent values are unknown.
 struct LoadReport {
-  std::optional<double> utilisation{};  // share of the cores in use
-  std::optional<double> in_flight{};    // queries in hand
-  std::optional<double> waiting{};      // queries waiting for memory
-  std::optional<double> memory{};       // share of memory granted
-  std::optional<double> disks{};        // share of disks busy
+  std::optional<double> cpu_utilisation{};     // share of the cores in use
+  std::optional<double> in_flight{};           // queries that the engine holds
+  std::optional<double> queued{};              // queries waiting for memory
+  std::optional<double> memory_utilisation{};  // share of the memory that is granted
+  std::optional<double> disk_utilisation{};    // share of the disks that are busy
 };
 
-// How an attempt ended; exactly one for every Send.
-struct Closed {
+// The end of an attempt; exactly one for every Send.
+struct AttemptClosed {
   RequestId id{};
   int attempt{};
   int engine{};
   Outcome outcome{Outcome::kDelivered};
-  Micros delay{0};
-  bool ended{};           // the request has its final answer
-  double true_work_ms{};  // delivered, where costs are told; else 0
-  double true_memory_mb{};
+  Micros delay{0};          // since the attempt was sent
+  bool request_answered{};  // the request has its final answer
+  double actual_work_ms{};  // of all threads, where it was delivered and engines report costs; else 0
+  double actual_memory_mb{};
   LoadReport report{};
 };
 
-// News of a running attempt, where the settings promise notes.
-struct Note {
+// Progress of an attempt in flight; sent where Settings::progress_interval is not 0.
+struct ProgressReport {
   RequestId id{};
   int attempt{};
   int engine{};
-  Topic topic{Topic::kProgress};
-  double amount{};
+  ProgressTopic topic{ProgressTopic::kProgress};
+  double value{};
 };
 
 struct ProbeResult {
@@ -205,55 +243,57 @@
   LoadReport report{};
 };
 
-// A message of another gateway. No decision depends on these.
+// A message of another gateway. No decision depends on it.
 struct PeerMessage {
   int from{};
 };
 
-struct Alarm {
+// A timer that the gateway asked for is due.
+struct TimerFired {
   std::uint64_t label{};
 };
 
-using Event = std::variant<Started, ListNews, RoutesNews, Arrival, ClientGone, FirstByte, Closed, Note,
-                           ProbeResult, PeerMessage, Alarm>;
+using Event = std::variant<Started, ListUpdate, RoutesUpdate, Arrival, ClientGone, FirstByte, AttemptClosed,
+                           ProgressReport, ProbeResult, PeerMessage, TimerFired>;
 
-// ---- Actions: what the caller must do, in this order, at the event's own time ----
+// ---- Actions: what the caller must do, in this order, at the time of the event ----
 
-// Start the request's next attempt (numbered 0, 1, 2 ...). A patience of 0 lasts until the client quits.
+// Start the request's next attempt; attempts are numbered 0, 1, 2 ... The caller ends it as kTimedOut after
+// `timeout`; 0: it may run until the client gives up.
 struct Send {
   RequestId id{};
   int engine{};
-  Micros patience{0};
+  Micros timeout{0};
 };
-// Memory and priority (0 to 3) for the next attempts; attempts already out take the priority only.
-struct Terms {
+// Memory and priority (0 to 3) of the next attempts. An attempt in flight takes the priority only.
+struct SetResources {
   RequestId id{};
   double memory_mb{};
   int priority{1};
 };
-// Stop waiting for an attempt; its Closed still comes.
+// Stop waiting for an attempt. Its AttemptClosed still follows.
 struct Cancel {
   RequestId id{};
   int attempt{};
 };
 // Why the gateway gives a final answer without a result.
 enum class AnswerReason {
-  kRouteFull,     // its route has no place for it
-  kLoadsFull,     // the loads of its group have used up the engines' time
-  kNoEngine,      // no engine may take it, or has room for it
-  kTriesUsedUp,   // by the settings, its route, or a ration
-  kDeadlineNear,  // its turn did not come in time
+  kRouteFull,       // its route is at its limit
+  kLoadsFull,       // the loads of its table group have used up the engines' time
+  kNoEngine,        // no engine may take it, or has room for it
+  kAttemptsUsedUp,  // by the settings, its route, or a retry budget
+  kDeadlineNear,    // it was still held, or waiting for its retry, close to its deadline
   kDeadlinePassed,
-  kHopeless,  // its attempt cannot end in time
-  kNotSent    // the caller could not send it
+  kCannotFinish,  // its attempt would end too long after the deadline
+  kNotSent        // the caller could not send it
 };
-// Final answer: refused, a retry does no harm.
+// Final answer: refused. It has had no effect that makes a client retry unsafe.
 struct Refuse {
   RequestId id{};
-  Micros wait{0};
+  Micros retry_after{0};  // 0: no advice
   AnswerReason reason{AnswerReason::kNoEngine};
 };
-// Final answer: failed, with no promise about its effect.
+// Final answer: failed. Whether it had an effect is unknown.
 struct Fail {
   RequestId id{};
   AnswerReason reason{AnswerReason::kNoEngine};
@@ -265,6 +305,7 @@
   bool active{true};
 };
 struct FetchList {};
+// Send a TimerFired with this label at `due`.
 struct Timer {
   Micros due{0};
   std::uint64_t label{};
@@ -273,7 +314,8 @@
   std::string text;
 };
 
-using Action = std::variant<Send, Terms, Cancel, Refuse, Fail, Probe, Subscribe, FetchList, Timer, Log>;
+using Action =
+    std::variant<Send, SetResources, Cancel, Refuse, Fail, Probe, Subscribe, FetchList, Timer, Log>;
 
 class Gateway {
  public:
@@ -283,12 +325,13 @@
   Gateway(Gateway&&) noexcept;
   Gateway& operator=(Gateway&&) noexcept;
 
-  // Decides on one event and appends to `actions`. `now` never runs backwards. Events on what the gateway
-  // does not know, or has finished with, are ignored.
+  // Decides on one event and appends to `actions`. `now` must not run backwards. Events about requests,
+  // attempts and engines that the gateway does not know or has finished with are ignored.
   void handle(Micros now, const Event& event, std::vector<Action>& actions);
 
-  // The bound and backlog of one engine in estimated milliseconds, for tests and dashboards; 0 if unknown.
-  double backlog_bound(int engine) const;
+  // Backlog limit and backlog of one engine in milliseconds of estimated work, for tests and dashboards; 0
+  // for an unknown engine.
+  double backlog_limit(int engine) const;
   double backlog(int engine) const;
 
  private:
--- a/src/choice.cpp
+++ b/src/choice.cpp
@@ -89,7 +89,7 @@
 struct Engine {
   bool known{}, listed{}, shunned{};
   std::uint64_t name{};
-  Standing standing{Standing::kReady};
+  EngineStatus standing{EngineStatus::kReady};
   int zone{}, kind{}, cell{};
   Micros came_up{0};
   double backlog{}, bound{}, delta{}, last_error{}, ddr_sum{}, peak{};
@@ -122,7 +122,7 @@
   bool finished{}, over_share{};
   int risky_engine{-1};  // where an attempt may have run, and when that was sent
   Micros risky_at{0}, held_until{0};
-  std::shared_ptr<const RouteFigures> route;
+  std::shared_ptr<const RouteParameters> route;
   bool out() const { return !attempts.empty() && attempts.back().open; }
 };
 
@@ -206,9 +206,9 @@
   }
 
   // A runaway's true cost tells of its plan and not of its class: it is clamped.
-  void learn(const Request& r, const Closed& e) {
+  void learn(const Request& r, const AttemptClosed& e) {
     const double sigma_now = ms(e.delay) * of(r).threads;
-    double work = s_.tells_cost ? e.true_work_ms : 0;
+    double work = s_.reports_cost ? e.actual_work_ms : 0;
     ClassState& c = classes_[static_cast<std::size_t>(r.cls)];
     if (work > 0) {
       const double expected = r.cost / unit_;
@@ -216,7 +216,7 @@
       if (r.estimate > 0 && std::isfinite(r.estimate))
         c.correction.add(work / std::min(r.estimate, kCostMost));
       if (r.memory > 0)
-        c.memory_correction.add(std::clamp(e.true_memory_mb / r.memory, 1 / kOutlier, kOutlier));
+        c.memory_correction.add(std::clamp(e.actual_memory_mb / r.memory, 1 / kOutlier, kOutlier));
     } else {
       work = r.cost / unit_;
     }
@@ -318,7 +318,7 @@
     if (slower > 1) w /= slower;
     const bool warm = std::find(e.warm.begin(), e.warm.end(), r.group) != e.warm.end();
     if (warm && r.group >= 0) w *= kWarmTilt;
-    if ((of(r).load || of(r).yields_to_load) && held(e, r.group)) w *= kHeldTilt;
+    if ((of(r).is_load || of(r).yields_to_load) && held(e, r.group)) w *= kHeldTilt;
     if (s_.own_zone >= 0 && e.zone != s_.own_zone) w /= 1 + kZoneTilt * s_.cross_zone_cost;
     const double losing = std::max(0.0, e.lost.get(0) - pool_lost_.get(0));
     w *= std::pow(1 - losing, kLossPower);
@@ -331,7 +331,7 @@
   void choose_subset() {
     constexpr double kGolden = 0.6180339887498949;
     const auto place = [](int i) { return i * kGolden - std::floor(i * kGolden); };
-    const double from = place(s_.own_number);
+    const double from = place(s_.own_index);
     std::vector<std::pair<double, int>> ring;
     double room = 0;
     for (int i = 0; i < static_cast<int>(engines_.size()); ++i) {
@@ -393,18 +393,18 @@
   // Engines in the order of a weighted draw without replacement.
   std::vector<int> draw(const Request& r, int avoid) {
     std::vector<std::pair<double, int>> keyed;
-    const bool apart = of(r).load || of(r).yields_to_load;
+    const bool apart = of(r).is_load || of(r).yields_to_load;
     if (apart) keep(r.group);
     for (int i = 0; i < static_cast<int>(engines_.size()); ++i) {
       const Engine& e = engines_[static_cast<std::size_t>(i)];
       if (!e.usable() || i == avoid) continue;
       const bool kept = apart && kept_[static_cast<std::size_t>(i)];
-      const double tilt = of(r).load && !kept ? kStrayTilt : kept && !of(r).load ? kHeldTilt : 1;
+      const double tilt = of(r).is_load && !kept ? kStrayTilt : kept && !of(r).is_load ? kHeldTilt : 1;
       keyed.emplace_back(std::log(uniform()) / (tilt * weight(e, r)), i);
     }
     std::sort(keyed.begin(), keyed.end(), std::greater<>());
     std::vector<int> order;
-    const bool light = of(r).effect == Effect::kRepeatable && r.attempts.empty() &&
+    const bool light = of(r).idempotency == Idempotency::kIdempotent && r.attempts.empty() &&
                        r.sigma <= mean_sigma(r.cls) && most_tries(r) > 1;
     for (int i = 0; light && i < static_cast<int>(engines_.size()); ++i) {
       Engine& e = engines_[static_cast<std::size_t>(i)];
@@ -443,7 +443,7 @@
     // A query that was admitted once is not thrown away for the place that its lost attempt has freed.
     for (int i : order)
       if (again && send(id, r, i)) return;
-    finish(id, r, again && !may_try_again(r) ? AnswerReason::kTriesUsedUp : AnswerReason::kNoEngine);
+    finish(id, r, again && !may_try_again(r) ? AnswerReason::kAttemptsUsedUp : AnswerReason::kNoEngine);
   }
 
   // ---- 4. Health ----
@@ -496,16 +496,17 @@
       const Attempt& a = r.attempts.back();
       const Engine& e = engines_[static_cast<std::size_t>(a.engine)];
       // Notes of one attempt stay away while others come: its connection is dead, or its answer was lost.
-      if (now_ - a.heard > 3 * s_.progress && now_ - e.heard < s_.progress) move(id, r);
+      if (now_ - a.heard > 3 * s_.progress_interval && now_ - e.heard < s_.progress_interval) move(id, r);
       const Micros most = r.route ? r.route->move_after : Micros{0};
       if (most.count() > 0 && now_ - a.sent >= most) move(id, r);
       const double quiet = ms(now_ - std::max(a.sent, e.heard));
-      const double limit = s_.progress.count() > 0 ? 3 * ms(s_.progress) : kOverdue * expected(r) + ms(kTick);
+      const double limit = s_.progress_interval.count() > 0 ? 3 * ms(s_.progress_interval)
+                                                            : kOverdue * expected(r) + ms(kTick);
       if (quiet > limit) ++overdue[a.engine];
     }
     for (const auto& [i, count] : overdue) {
       Engine& e = engines_[static_cast<std::size_t>(i)];
-      if (count < 2 && s_.progress.count() == 0) continue;
+      if (count < 2 && s_.progress_interval.count() == 0) continue;
       suspect(e, kSoft);
       // Repeatable queries leave an engine that has fallen silent; others cannot be tried again safely.
       for (auto& [id, r] : requests_)
@@ -516,11 +517,12 @@
   // ---- 5. Attempts ----
 
   int most_tries(const Request& r) const {
-    return r.route && r.route->most_tries > 0 ? std::min(r.route->most_tries, s_.most_tries) : s_.most_tries;
+    return r.route && r.route->max_attempts > 0 ? std::min(r.route->max_attempts, s_.max_attempts)
+                                                : s_.max_attempts;
   }
 
   bool another_try(const Request& r) const {
-    return s_.may_cancel && of(r).effect == Effect::kRepeatable && !r.finished &&
+    return s_.may_cancel && of(r).idempotency == Idempotency::kIdempotent && !r.finished &&
            !r.attempts.back().streaming && static_cast<int>(r.attempts.size()) < most_tries(r) &&
            budget_allows(r) && ms(r.deadline - now_) > expected(r);
   }
@@ -534,46 +536,46 @@
   }
 
   Micros patience(const Request& r) const {
-    if (r.route && !r.route->patience.empty())
-      return r.route->patience[std::min(r.attempts.size(), r.route->patience.size() - 1)];
-    const bool more =
-        of(r).effect == Effect::kRepeatable && static_cast<int>(r.attempts.size()) + 1 < most_tries(r);
+    if (r.route && !r.route->attempt_timeouts.empty())
+      return r.route->attempt_timeouts[std::min(r.attempts.size(), r.route->attempt_timeouts.size() - 1)];
+    const bool more = of(r).idempotency == Idempotency::kIdempotent &&
+                      static_cast<int>(r.attempts.size()) + 1 < most_tries(r);
     // Where notes are promised, their silence tells sooner what is lost, and their pace what is too slow.
-    if (!more || (crowding_ > 0 && s_.progress.count() > 0)) return Micros{0};
+    if (!more || (crowding_ > 0 && s_.progress_interval.count() > 0)) return Micros{0};
     return from_ms(std::max(kPatience * ms(r.deadline - now_), kOverdue * expected(r)));
   }
 
   // ---- 6. Guards ----
 
   bool budget_allows(const Request& r) const {
-    if (r.route && r.route->ration && rations_.at(r.route->number) < 1) return false;
-    if (!s_.extra_ratio) return true;
-    const Micros since = now_ - s_.look_back;
+    if (r.route && r.route->retry_budget_ratio && rations_.at(r.route->id) < 1) return false;
+    if (!s_.retry_budget_ratio) return true;
+    const Micros since = now_ - s_.retry_budget_window;
     const auto recent = [since](Micros t) { return t > since; };
     const auto extras = static_cast<double>(std::count_if(extras_.begin(), extras_.end(), recent));
     const auto taken = static_cast<double>(std::count_if(taken_.begin(), taken_.end(), recent));
-    return extras + 1 <= s_.free_resends + *s_.extra_ratio * taken;
+    return extras + 1 <= s_.retry_budget_base + *s_.retry_budget_ratio * taken;
   }
 
-  bool cold(const Engine& e) const { return e.came_up.count() > 0 && now_ < e.came_up + s_.cold_for; }
+  bool cold(const Engine& e) const { return e.came_up.count() > 0 && now_ < e.came_up + s_.slow_start_time; }
 
   // Never under what the settings suggest: a gateway that has seen few and light ones would send too many.
   double cold_work(const Request& r) const { return std::max(mean_work(r.cls), usual_work(r.cls)); }
   // Weighed by the class's usual work, as the rule does; every send counts, whatever comes of it.
   bool cold_allows(Engine& e, const Request& r) const {
     if (!cold(e)) return true;
-    while (!e.cold_sends.empty() && e.cold_sends.front().first < now_ - s_.fall_after)
+    while (!e.cold_sends.empty() && e.cold_sends.front().first < now_ - s_.overload_window)
       e.cold_sends.pop_front();
     double used = mean_work(r.cls);
     for (const auto& [_, sent] : e.cold_sends) used += sent;
-    const double capacity = cores(e) * kFullLoad * s_.cold_from;
-    const double budget = s_.overload_factor * capacity * ms(s_.fall_after);
+    const double capacity = cores(e) * kFullLoad * s_.slow_start_share;
+    const double budget = s_.overload_factor * capacity * ms(s_.overload_window);
     const double share = budget / s_.gateways;
     if (mean_work(r.cls) <= share * kColdMargin) return used <= share * kColdMargin;
     // A share of less than one query: a bucket that starts at random keeps the sum over all gateways right.
     // Chance adds queries up unevenly, so it is for those of which the budget holds many.
     const double work = cold_work(r);
-    const double earned = share * kColdOdds * ms(now_ - e.told_up) / ms(s_.fall_after);
+    const double earned = share * kColdOdds * ms(now_ - e.told_up) / ms(s_.overload_window);
     return work * kColdMany <= budget && e.cold_used + work <= earned + e.cold_start * work;
   }
 
@@ -585,17 +587,17 @@
 
   // A route's pause before its next attempt. One that would last too long ends the request at once.
   void pause(RequestId id, Request& r) {
-    const double span = ms(r.route->pause) * (1 + r.route->jitter * (2 * uniform() - 1));
+    const double span = ms(r.route->retry_delay) * (1 + r.route->retry_jitter * (2 * uniform() - 1));
     r.held_until = now_ + from_ms(span);
     if (r.held_until + from_ms(expected(r)) >= r.deadline) return finish(id, r, AnswerReason::kDeadlineNear);
-    if (!may_try_again(r)) return finish(id, r, AnswerReason::kTriesUsedUp);
+    if (!may_try_again(r)) return finish(id, r, AnswerReason::kAttemptsUsedUp);
     pauses_.emplace(r.held_until, id);
     act(Timer{r.held_until, kPauseLabel});
   }
 
   // What no engine and no wait can change.
   bool may_try_again(const Request& r) const {
-    const bool harmless = r.risky_engine < 0 || of(r).effect != Effect::kOnce;
+    const bool harmless = r.risky_engine < 0 || of(r).idempotency != Idempotency::kNone;
     return harmless && static_cast<int>(r.attempts.size()) < most_tries(r) && budget_allows(r);
   }
 
@@ -604,12 +606,13 @@
   }
 
   bool effect_allows(const Request& r, int engine) const {
-    if (r.risky_engine < 0 || of(r).effect == Effect::kRepeatable) return true;
-    if (of(r).effect == Effect::kOnce || now_ >= r.risky_at + of(r).dedup_window) return false;
+    if (r.risky_engine < 0 || of(r).idempotency == Idempotency::kIdempotent) return true;
+    if (of(r).idempotency == Idempotency::kNone || now_ >= r.risky_at + of(r).dedup_window) return false;
     const Engine& was = engines_[static_cast<std::size_t>(r.risky_engine)];
     const Engine& is = engines_[static_cast<std::size_t>(engine)];
-    return of(r).dedup_scope == Scope::kAll || (of(r).dedup_scope == Scope::kZone && was.zone == is.zone) ||
-           (of(r).dedup_scope == Scope::kCell && was.cell == is.cell);
+    return of(r).dedup_scope == DedupScope::kAll ||
+           (of(r).dedup_scope == DedupScope::kZone && was.zone == is.zone) ||
+           (of(r).dedup_scope == DedupScope::kCell && was.cell == is.cell);
   }
 
   bool has_turn(RequestId id, const Request& r) const {
@@ -624,14 +627,14 @@
     Engine& e = engines_[static_cast<std::size_t>(index)];
     if (r.finished || r.out() || now_ >= r.deadline || !has_turn(id, r)) return false;
     if (static_cast<int>(r.attempts.size()) >= most_tries(r) || !in_pool(r, index)) return false;
-    if (!e.listed || e.standing != Standing::kReady) return false;
+    if (!e.listed || e.standing != EngineStatus::kReady) return false;
     if (!allowed(of(r).zones, e.zone) || !allowed(of(r).kinds, e.kind)) return false;
     if (!effect_allows(r, index) || !cold_allows(e, r)) return false;
     if (!r.attempts.empty() && !budget_allows(r)) return false;
     terms(id, r, e);
     act(Send{id, index, patience(r)});
     if (!r.attempts.empty()) extras_.push_back(now_);
-    if (!r.attempts.empty() && r.route && r.route->ration) rations_[r.route->number] -= 1;
+    if (!r.attempts.empty() && r.route && r.route->retry_budget_ratio) rations_[r.route->id] -= 1;
     if (cold(e)) {
       e.cold_sends.emplace_back(now_, mean_work(r.cls));
       e.cold_used += cold_work(r);
@@ -647,7 +650,7 @@
     std::erase(e.warm, r.group);
     e.warm.push_front(r.group);
     if (e.warm.size() > kWarmGroups) e.warm.pop_back();
-    if (of(r).load) ++e.loads[r.group];
+    if (of(r).is_load) ++e.loads[r.group];
     return true;
   }
 
@@ -656,10 +659,10 @@
     if (r.finished) return;
     const ClassSettings& c = of(r);
     const bool risky = r.risky_engine >= 0 || r.out();
-    const bool harmless = !risky || c.effect == Effect::kRepeatable ||
-                          (c.effect == Effect::kByKey && c.dedup_scope == Scope::kAll);
+    const bool harmless = !risky || c.idempotency == Idempotency::kIdempotent ||
+                          (c.idempotency == Idempotency::kByKey && c.dedup_scope == DedupScope::kAll);
     if (harmless && now_ < r.deadline) {
-      act(Refuse{id, s_.retry_after ? std::min(kPeriod, s_.max_retry_after) : Micros{0}, reason});
+      act(Refuse{id, s_.may_send_retry_after ? std::min(kPeriod, s_.max_retry_after) : Micros{0}, reason});
     } else {
       act(Fail{id, reason});
     }
@@ -712,7 +715,7 @@
   // The nearer a deadline, against the usual slack, the higher the rank. Nobody gets the lowest one: it would
   // starve a class with far deadlines for as long as the cores are short.
   int priority(const Request& r) const {
-    if (!s_.priority_heeded) return 1;
+    if (!s_.honors_priority) return 1;
     if (r.route && r.route->priority >= 0) return r.route->priority;
     // A query with its key's next ones waiting behind it is as near as the nearest of them.
     if (r.key && of(r).keep_order && lines_.at(*r.key).line.size() > 1) return 3;
@@ -723,14 +726,14 @@
 
   double grant(const Request& r, const Engine& e) const {
     const auto& c = classes_[static_cast<std::size_t>(r.cls)];
-    const double most = s_.largest_share * s_.kinds[static_cast<std::size_t>(e.kind)].memory_mb;
-    if (s_.memory_heeded && r.route && r.route->memory_mb > 0) return std::min(most, r.route->memory_mb);
-    if (!s_.memory_heeded || r.memory <= 0 || c.memory_correction.weight < kTrusted) return 0;
+    const double most = s_.max_memory_share * s_.kinds[static_cast<std::size_t>(e.kind)].memory_mb;
+    if (s_.honors_memory && r.route && r.route->memory_mb > 0) return std::min(most, r.route->memory_mb);
+    if (!s_.honors_memory || r.memory <= 0 || c.memory_correction.weight < kTrusted) return 0;
     return std::min(most, r.memory * c.memory_correction.get(1) * kGrantMargin);
   }
 
   void terms(RequestId id, Request& r, const Engine& e) {
-    const Terms terms{id, grant(r, e), priority(r)};
+    const SetResources terms{id, grant(r, e), priority(r)};
     if (terms.memory_mb > 0 || terms.priority != r.priority) act(terms);
     r.priority = terms.priority;
   }
@@ -738,14 +741,14 @@
   // ---- Events ----
 
   void on(const Started&) {
-    if (s_.registry == Registry::kAsk) act(Subscribe{true});
+    if (s_.registry_mode == RegistryMode::kSubscribe) act(Subscribe{true});
     act(Timer{now_ + kTick, kTickLabel});
   }
 
-  void on(const ListNews& news) {
+  void on(const ListUpdate& news) {
     if (news.mode == ListMode::kFailed) return void(subscribe_at_ = now_ + kPeriod);
     for (Engine& e : engines_)
-      if (news.mode != ListMode::kIncremental) e.listed = false, e.standing = Standing::kGone;
+      if (news.mode != ListMode::kIncremental) e.listed = false, e.standing = EngineStatus::kGone;
     for (const EngineEntry& entry : news.entries) {
       if (entry.engine < 0 || entry.engine >= kEnginesMost || entry.kind < 0 ||
           entry.kind >= static_cast<int>(s_.kinds.size()))
@@ -754,11 +757,11 @@
         engines_.resize(static_cast<std::size_t>(entry.engine) + 1);
       Engine& e = engines_[static_cast<std::size_t>(entry.engine)];
       if (!e.known) e = Engine{};  // the place may have been another one's
-      const bool restarted = e.known && entry.came_up > e.came_up;
-      e.zone = entry.zone, e.kind = entry.kind, e.cell = entry.cell, e.name = entry.name;
-      e.standing = entry.standing;
-      e.came_up = std::max(e.came_up, entry.came_up);
-      e.listed = entry.standing == Standing::kReady;
+      const bool restarted = e.known && entry.started_at > e.came_up;
+      e.zone = entry.zone, e.kind = entry.kind, e.cell = entry.cell, e.name = entry.name_hash;
+      e.standing = entry.status;
+      e.came_up = std::max(e.came_up, entry.started_at);
+      e.listed = entry.status == EngineStatus::kReady;
       if (!e.known || restarted) {
         e.bound = std::floor(start_bound(e) * (1 - kCautious * crowding_)), e.delta = 0;
         e.warm.clear(), e.held_until.clear(), e.utilisation.reset();
@@ -769,37 +772,38 @@
     judge();
   }
 
-  void on(const RoutesNews& news) {
+  void on(const RoutesUpdate& news) {
     routes_ = news.routes, pools_ = news.pools;
     std::map<int, double> kept;
     for (const auto& route : routes_)
-      kept[route->number] = rations_.contains(route->number) ? rations_[route->number] : route->ration_burst;
+      kept[route->id] = rations_.contains(route->id) ? rations_[route->id] : route->retry_budget_burst;
     for (const auto& [id, r] : requests_)
-      if (r.route) kept.try_emplace(r.route->number, rations_[r.route->number]);
+      if (r.route) kept.try_emplace(r.route->id, rations_[r.route->id]);
     rations_ = std::move(kept);
   }
 
   void on(const Arrival& a) {
     if (a.cls < 0 || a.cls >= static_cast<int>(s_.classes.size()) || requests_.contains(a.id)) return;
     Request& r = requests_[a.id];
-    r.cls = a.cls, r.tenant = a.tenant, r.group = a.group, r.key = a.key;
+    r.cls = a.cls, r.tenant = a.tenant, r.group = a.table_group, r.key = a.key;
     r.estimate = a.estimate_ms;
     r.memory = std::isfinite(a.memory_mb) && a.memory_mb > 0 ? a.memory_mb : 0;
-    r.arrived = now_, r.deadline = now_ + a.left;
+    r.arrived = now_, r.deadline = now_ + a.remaining;
     r.over_share = over_share(a.tenant);
     price(r);
     if (a.route >= 0 && a.route < static_cast<int>(routes_.size())) {
       r.route = routes_[static_cast<std::size_t>(a.route)];
-      double& left = rations_[r.route->number];
-      if (r.route->ration && !a.no_place) left = std::min(r.route->ration_burst, left + *r.route->ration);
+      double& left = rations_[r.route->id];
+      if (r.route->retry_budget_ratio && !a.route_full)
+        left = std::min(r.route->retry_budget_burst, left + *r.route->retry_budget_ratio);
     }
     r.luck = crowding_ > 0 ? uniform() : 1;
     slack_seen_.add(ms(r.slack));
     trials_ = std::min(kTrialBurst, trials_ + kTrialShare);
-    if (s_.extra_ratio) taken_.push_back(now_);
+    if (s_.retry_budget_ratio) taken_.push_back(now_);
     if (r.key && of(r).keep_order) lines_[*r.key].line.push_back(a.id);
-    if (a.no_place) return finish(a.id, r, AnswerReason::kRouteFull);
-    if (of(r).load && !has_room(r)) return finish(a.id, r, AnswerReason::kLoadsFull);
+    if (a.route_full) return finish(a.id, r, AnswerReason::kRouteFull);
+    if (of(r).is_load && !has_room(r)) return finish(a.id, r, AnswerReason::kLoadsFull);
     dispatch(a.id, r);
   }
 
@@ -829,22 +833,23 @@
     clear(engines_[static_cast<std::size_t>(r->attempts[static_cast<std::size_t>(e.attempt)].engine)]);
   }
 
-  void on(const Note& n) {
+  void on(const ProgressReport& n) {
     Request* r = find(n.id, n.attempt);
     if (r == nullptr) return;
     Attempt& a = r->attempts[static_cast<std::size_t>(n.attempt)];
     Engine& e = engines_[static_cast<std::size_t>(a.engine)];
     a.heard = now_;
     clear(e);
-    if (s_.priority_heeded && !r->finished && priority(*r) != r->priority) terms(n.id, *r, e);
-    if (n.topic == Topic::kWaits && n.amount >= 2) e.held_until[r->group] = now_ + 2 * s_.progress;
-    if (n.topic != Topic::kProgress || !std::isfinite(n.amount)) return;
+    if (s_.honors_priority && !r->finished && priority(*r) != r->priority) terms(n.id, *r, e);
+    if (n.topic == ProgressTopic::kWaiting && n.value >= 2)
+      e.held_until[r->group] = now_ + 2 * s_.progress_interval;
+    if (n.topic != ProgressTopic::kProgress || !std::isfinite(n.value)) return;
     // A query that would be done much sooner elsewhere, and too late for its aim here, begins anew; but not
     // one that loads would hold up everywhere. Hurts where the estimate was far too low.
     const auto no_better = [&](const Engine& other) { return !other.listed || held(other, r->group); };
     if (of(*r).yields_to_load && std::all_of(engines_.begin(), engines_.end(), no_better)) return;
     const double age = ms(now_ - a.sent);
-    const double remaining = age / std::clamp(n.amount, 0.01, 1.0) - age;
+    const double remaining = age / std::clamp(n.value, 0.01, 1.0) - age;
     slowed(e, *r, age + remaining);
     const double fresh = expected(*r) * 1.5;
     const bool slow = remaining > kPaceWorse * fresh && now_ + from_ms(remaining) > r->aim;
@@ -855,12 +860,12 @@
       // It cannot end in time, and holds up what can.
       a.cancelled = true;
       act(Cancel{n.id, n.attempt});
-      finish(n.id, *r, AnswerReason::kHopeless);
+      finish(n.id, *r, AnswerReason::kCannotFinish);
     }
   }
 
   void report(Engine& e, const LoadReport& load) {
-    auto told = load.utilisation;
+    auto told = load.cpu_utilisation;
     counted_ = load.in_flight.has_value();
     if (load.in_flight) {
       // Cores fall idle where queries wait for disks or memory: then what is in hand tells, not how busy they
@@ -874,7 +879,7 @@
     e.told_at = told_at_ = now_, e.sent_since = 0;
   }
 
-  void on(const Closed& c) {
+  void on(const AttemptClosed& c) {
     Request* found = find(c.id, c.attempt);
     if (found == nullptr) return;
     Request& r = *found;
@@ -884,16 +889,16 @@
     e.backlog = std::max(0.0, e.backlog - r.cost);
     e.threads_out -= of(r).threads;
     if (--e.out == 0) e.backlog = e.threads_out = 0;
-    if (of(r).load && --e.loads[r.group] <= 0) e.loads.erase(r.group);
+    if (of(r).is_load && --e.loads[r.group] <= 0) e.loads.erase(r.group);
     report(e, c.report);
-    const bool never_ran =
-        c.outcome == Outcome::kShed || c.outcome == Outcome::kDialFailed || c.outcome == Outcome::kUnused;
+    const bool never_ran = c.outcome == Outcome::kRejected || c.outcome == Outcome::kConnectFailed ||
+                           c.outcome == Outcome::kNotSent;
     if (!never_ran && r.risky_engine < 0) r.risky_engine = a.engine, r.risky_at = a.sent;
-    const bool doubt =
-        c.outcome == Outcome::kExpired || c.outcome == Outcome::kDropped || c.outcome == Outcome::kRevoked;
+    const bool doubt = c.outcome == Outcome::kTimedOut || c.outcome == Outcome::kConnectionLost ||
+                       c.outcome == Outcome::kCancelled;
     if (doubt && r.key && of(r).keep_order) {
       Micros& rest = lines_[*r.key].rests_until;
-      rest = std::max(rest, now_ + s_.settle_after_doubt);
+      rest = std::max(rest, now_ + s_.settle_time);
     }
     if (c.outcome == Outcome::kDelivered) {
       clear(e);
@@ -902,29 +907,30 @@
       state(r).slowdown.add(slowed(e, r, ms(c.delay)));
       threads_seen_.add(of(r).threads);
     }
-    if (c.outcome == Outcome::kDelivered || c.outcome == Outcome::kExpired) sample(e, r, a);
+    if (c.outcome == Outcome::kDelivered || c.outcome == Outcome::kTimedOut) sample(e, r, a);
     // "Full" is the engine's own word that no more fits: the bound comes down to what is there. Covers
     // engines filled by others or after others died; a stray one on a bursty day costs seconds of a lower
     // bound. "Full" is also a report of load, where reports of busy cores miss the queries that stand still.
-    if (c.outcome == Outcome::kShed && crowding_ > 0) e.utilisation = kFullSays, e.told_at = told_at_ = now_;
-    if (c.outcome == Outcome::kShed)
+    if (c.outcome == Outcome::kRejected && crowding_ > 0)
+      e.utilisation = kFullSays, e.told_at = told_at_ = now_;
+    if (c.outcome == Outcome::kRejected)
       e.bound = std::max(std::ceil(mean_cost()), std::min(e.bound, e.backlog + others(e))), e.delta = 0;
     // An engine on which attempts run out of time is at least so slow; without notes it may have lost them.
-    if (c.outcome == Outcome::kExpired && s_.progress.count() > 0) slowed(e, r, ms(c.delay));
-    if (c.outcome == Outcome::kDialFailed) suspect(e, kHard);
-    if (c.outcome == Outcome::kDropped) suspect(e, kSoft);
+    if (c.outcome == Outcome::kTimedOut && s_.progress_interval.count() > 0) slowed(e, r, ms(c.delay));
+    if (c.outcome == Outcome::kConnectFailed) suspect(e, kHard);
+    if (c.outcome == Outcome::kConnectionLost) suspect(e, kSoft);
     // An engine may answer some and lose others: its losses weigh in the draw, against the pool's.
-    const bool useless = c.outcome == Outcome::kExpired || c.outcome == Outcome::kAppError;
+    const bool useless = c.outcome == Outcome::kTimedOut || c.outcome == Outcome::kAppError;
     if (useless || c.outcome == Outcome::kDelivered) e.lost.add(useless), pool_lost_.add(useless);
-    if (c.outcome == Outcome::kExpired && e.heard < a.sent) suspect(e, kSoft);
-    if (c.ended) r.finished = true;
+    if (c.outcome == Outcome::kTimedOut && e.heard < a.sent) suspect(e, kSoft);
+    if (c.request_answered) r.finished = true;
     if (r.finished) {
       settle(c.id);
-    } else if (c.outcome == Outcome::kUnused) {
+    } else if (c.outcome == Outcome::kNotSent) {
       finish(c.id, r, AnswerReason::kNotSent);
     } else if (now_ >= r.deadline) {
       finish(c.id, r, AnswerReason::kDeadlinePassed);
-    } else if (r.route && r.route->pause.count() > 0) {
+    } else if (r.route && r.route->retry_delay.count() > 0) {
       pause(c.id, r);
     } else {
       dispatch(c.id, r);
@@ -940,7 +946,7 @@
 
   void on(const PeerMessage&) {}
 
-  void on(const Alarm& alarm) {
+  void on(const TimerFired& alarm) {
     while (!pauses_.empty() && pauses_.begin()->first <= now_) {
       const RequestId id = pauses_.begin()->second;
       pauses_.erase(pauses_.begin());
@@ -950,12 +956,12 @@
     if (alarm.label != kTickLabel || now_ < tick_due_) return;
     tick_due_ = now_ + kTick;
     act(Timer{tick_due_, kTickLabel});
-    if (subscribe_at_.count() > 0 && now_ >= subscribe_at_ && s_.registry == Registry::kAsk)
+    if (subscribe_at_.count() > 0 && now_ >= subscribe_at_ && s_.registry_mode == RegistryMode::kSubscribe)
       subscribe_at_ = Micros{0}, act(Subscribe{true});
     if (pool_load_.weight > kNewsFade) pool_load_.sum *= 1 - kNewsFade, pool_load_.weight *= 1 - kNewsFade;
     std::erase_if(areas_, [this](const auto& a) { return now_ - a.second.at > 4 * kAreaSpan; });
-    while (!taken_.empty() && taken_.front() <= now_ - s_.look_back) taken_.pop_front();
-    while (!extras_.empty() && extras_.front() <= now_ - s_.look_back) extras_.pop_front();
+    while (!taken_.empty() && taken_.front() <= now_ - s_.retry_budget_window) taken_.pop_front();
+    while (!extras_.empty() && extras_.front() <= now_ - s_.retry_budget_window) extras_.pop_front();
     listen();
     // Held for their turn: ended while a refusal can still reach the client.
     std::vector<RequestId> last;
@@ -983,7 +989,7 @@
     for (Engine& e : engines_) {
       if (!e.known) continue;
       // Replacements come under new names all day: what is gone is forgotten, but for its place.
-      if (!e.listed && e.out == 0 && e.standing != Standing::kDraining) {
+      if (!e.listed && e.out == 0 && e.standing != EngineStatus::kDraining) {
         e.known = false, e.warm.clear(), e.held_until.clear(), e.cold_sends.clear();
         continue;
       }
@@ -1019,7 +1025,7 @@
   std::vector<bool> kept_;
   std::map<RequestId, Request> requests_;
   std::map<std::uint64_t, KeyLine> lines_;
-  std::vector<std::shared_ptr<const RouteFigures>> routes_;
+  std::vector<std::shared_ptr<const RouteParameters>> routes_;
   std::vector<std::vector<bool>> pools_;
   std::map<int, double> rations_;  // by the route's number: further attempts that may be made now
   std::multimap<Micros, RequestId> pauses_;
@@ -1042,7 +1048,7 @@
   impl_->handle(now, event, actions);
 }
 
-double Gateway::backlog_bound(int i) const { return impl_->engine(i) ? impl_->engine(i)->bound : 0; }
+double Gateway::backlog_limit(int i) const { return impl_->engine(i) ? impl_->engine(i)->bound : 0; }
 double Gateway::backlog(int i) const { return impl_->engine(i) ? impl_->engine(i)->backlog : 0; }
 
 }  // namespace steprail
--- a/src/commands/explain.cpp
+++ b/src/commands/explain.cpp
@@ -21,8 +21,8 @@
   for (int i = 0; i < config.tables.tenants.size(); ++i)
     names.tenants.push_back(config.tables.tenants.name(i));
   routes::Facts facts;
-  facts.cls = config.tables.classes.find(options.cls, "class");
-  if (!options.tenant.empty()) facts.tenant = config.tables.tenants.find(options.tenant, "tenant");
+  facts.cls = config.tables.classes.index_or_throw(options.cls, "class");
+  if (!options.tenant.empty()) facts.tenant = config.tables.tenants.index_or_throw(options.tenant, "tenant");
   const auto front = std::find(names.fronts.begin(), names.fronts.end(), options.front);
   if (front == names.fronts.end()) throw std::runtime_error("unknown front '" + options.front + "'");
   facts.front = static_cast<int>(front - names.fronts.begin());
--- a/src/commands/plan.cpp
+++ b/src/commands/plan.cpp
@@ -36,7 +36,7 @@
     throw std::runtime_error("traffic file cannot be used:\n" + conf::render(document, faults));
   if (traffic.cores <= 0) throw std::runtime_error(traffic_path + ": a block 'engines' is missing");
 
-  using Planner = void (*)(const routes::Traffic*, const Settings*, const Tables*, routes::Plan*);
+  using Planner = void (*)(const routes::Traffic*, const Settings*, const NameTables*, routes::Plan*);
   std::string fault;
   const auto planner = reinterpret_cast<Planner>(routes::solver_function("steprail_plan_routes", fault));
   if (planner == nullptr) throw std::runtime_error("there is no planner: " + fault);
--- a/src/config.cpp
+++ b/src/config.cpp
@@ -42,8 +42,8 @@
   validate(config.settings);
   config.engines.multiplex = std::max(1, optional_field(params.at("limits"), "multiplex", 1));
   config.engines.connect_timeout = config.settings.connect_timeout;
-  config.engines.idle = micros(params.at("limits"), "conn_idle_us");
-  config.engines.reports = config.settings.reports != Reports::kSilent;
+  config.engines.idle = read_micros(params.at("limits"), "conn_idle_us");
+  config.engines.reports = config.settings.report_mode != ReportMode::kNone;
   return config;
 }
 
--- a/src/config.h
+++ b/src/config.h
@@ -20,7 +20,7 @@
   nlohmann::json known;
   Settings settings;
   EnginePool::Limits engines;  // how many connections is left to the caller
-  Tables tables;
+  NameTables tables;
 };
 
 // Throws std::runtime_error with one plain line where the file cannot be read or used.
--- a/src/core/coordinator.cpp
+++ b/src/core/coordinator.cpp
@@ -82,18 +82,18 @@
   arrival.id = q.id;
   arrival.cls = q.cls;
   arrival.tenant = q.tenant;
-  arrival.left = open.deadline - q.taken;
+  arrival.remaining = open.deadline - q.taken;
   arrival.estimate_ms = q.estimate_ms;
   arrival.memory_mb = q.memory_mb;
-  arrival.group = q.group;
-  arrival.resent = q.resent;
+  arrival.table_group = q.group;
+  arrival.client_retry = q.resent;
   if (routing_ != nullptr) routing_->arrived(q, arrival);
   log_.event(Level::kDebug, "arrived",
              {{"id", q.name},
               {"class", q.class_name},
               {"group", q.group},
               {"work", q.estimate_ms},
-              {"left", arrival.left.count() / 1000},
+              {"left", arrival.remaining.count() / 1000},
               {"again", q.resent}});
   gather(arrival);
 }
@@ -108,7 +108,7 @@
   // Its connection was closed from here: as with a cancel, the engine has yet to hear of it.
   const bool closed_here = end.cause == EndCause::kSpoiltAnswer || end.cause == EndCause::kCommandsUnread ||
                            end.cause == EndCause::kEngineReplaced;
-  if (closed_here && end.outcome != Outcome::kDialFailed) {
+  if (closed_here && end.outcome != Outcome::kConnectFailed) {
     hold_back(open, end.outcome, end.cause);
     return wake();
   }
@@ -116,7 +116,7 @@
   close(open, end.outcome, end.cause, end.report);
 }
 
-void Coordinator::noted(Note note) {
+void Coordinator::noted(ProgressReport note) {
   const auto at = open_.find(note.id);
   if (at != open_.end())
     log_.event(Level::kDebug, "noted",
@@ -124,7 +124,7 @@
                 {"attempt", note.attempt},
                 {"engine", note.engine},
                 {"topic", static_cast<int>(note.topic)},
-                {"amount", note.amount}});
+                {"amount", note.value}});
   gather(note);
 }
 void Coordinator::probed(ProbeResult result) { gather(std::move(result)); }
@@ -133,7 +133,7 @@
   // The sockets hear of a drain at once, not with the batch: what is still queued must not leave late.
   for (const EngineChange& change : changes) engines_->list(change);
   auto news = routing_ != nullptr ? routing_->listed(mode, entries, changes) : std::nullopt;
-  gather(ListNews{mode, std::move(entries)});
+  gather(ListUpdate{mode, std::move(entries)});
   if (news) gather(std::move(*news));
 }
 
@@ -147,7 +147,7 @@
   for (auto& [id, open] : open_) {
     if (open.answered) continue;
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(open.query.cls)];
-    const bool harmless = open.attempts == 0 || cls.effect == Effect::kRepeatable;
+    const bool harmless = open.attempts == 0 || cls.idempotency == Idempotency::kIdempotent;
     // To the module it is as if its client had gone: what is out is called off.
     gather(ClientGone{id});
     finish(open, {harmless ? Verdict::kRefused : Verdict::kFailed, {}, {}}, "stopping");
@@ -157,7 +157,7 @@
 // An attempt's one end, on its way to the module.
 void Coordinator::close(Open& open, Outcome outcome, EndCause cause, LoadReport report) {
   open.out = Out::kClosing;
-  Closed closed;
+  AttemptClosed closed;
   closed.id = open.query.id;
   closed.attempt = open.attempts - 1;
   closed.engine = open.engine;
@@ -171,7 +171,7 @@
               {"outcome", kOutcomes[static_cast<std::size_t>(outcome)]},
               {"cause", kCauses[static_cast<std::size_t>(cause)]},
               {"ms", closed.delay.count() / 1000},
-              {"util", report.utilisation.value_or(-1)},
+              {"util", report.cpu_utilisation.value_or(-1)},
               {"inflight", report.in_flight.value_or(-1)}});
   gather(closed);
 }
@@ -236,7 +236,7 @@
     const Timeout due = timeouts_.top();
     timeouts_.pop();
     if (due.what == Due::kAlarm) {
-      gathered_.push_back(Alarm{due.id});
+      gathered_.push_back(TimerFired{due.id});
       continue;
     }
     const auto at = open_.find(due.id);
@@ -244,7 +244,7 @@
     Open& open = at->second;
     if (due.what == Due::kAttempt) {
       if (open.out == Out::kOut && due.attempt == open.attempts - 1)
-        give_up(open, Outcome::kExpired, EndCause::kTimedOut);
+        give_up(open, Outcome::kTimedOut, EndCause::kTimedOut);
     } else if (due.what == Due::kGivenUp) {
       close(open, open.given_up, open.given_up_cause);
     } else if (!open.answered && open.out != Out::kNone) {
@@ -263,7 +263,7 @@
   RequestId forgotten{};
   bool may_forget = false;
   if (auto* arrival = std::get_if<Arrival>(&event)) {
-    arrival->left = std::max(Micros{0}, open_.at(arrival->id).deadline - now_);
+    arrival->remaining = std::max(Micros{0}, open_.at(arrival->id).deadline - now_);
   } else if (const auto* gone = std::get_if<ClientGone>(&event)) {
     const auto at = open_.find(gone->id);
     if (at == open_.end()) return;
@@ -273,13 +273,13 @@
       if (routing_ != nullptr) routing_->left(gone->id, Routing::How::kGone);
     }
     forgotten = gone->id, may_forget = true;
-  } else if (auto* closed = std::get_if<Closed>(&event)) {
+  } else if (auto* closed = std::get_if<AttemptClosed>(&event)) {
     Open& open = open_.at(closed->id);
     open.out = Out::kNone;
     if (closed->outcome == Outcome::kDelivered && !open.answered)
       finish(open, {Verdict::kServed, {}, std::move(open.pages)}, "answered");
     open.pages.clear();
-    closed->ended = open.answered;
+    closed->request_answered = open.answered;
     forgotten = closed->id, may_forget = true;
   }
   module_.handle(now_, event, actions_);
@@ -335,9 +335,9 @@
   open.sent = now_;
   ++open.attempts;
   // It ended in this very batch, by its client: nothing leaves.
-  if (open.answered) return close(open, Outcome::kUnused, EndCause::kNotSent);
+  if (open.answered) return close(open, Outcome::kNotSent, EndCause::kNotSent);
   Micros patience = open.deadline - now_;
-  if (send.patience.count() > 0) patience = std::min(patience, send.patience);
+  if (send.timeout.count() > 0) patience = std::min(patience, send.timeout);
   open.out = Out::kOut;
   timeouts_.push({now_ + patience, Due::kAttempt, send.id, open.life, open.attempts - 1});
   log_.event(Level::kDebug, "sent",
@@ -345,7 +345,7 @@
               {"attempt", open.attempts - 1},
               {"engine", send.engine},
               {"patience", patience.count() / 1000},
-              {"bound", module_.backlog_bound(send.engine)},
+              {"bound", module_.backlog_limit(send.engine)},
               {"backlog", module_.backlog(send.engine)}});
   engines_->send({open.query, open.attempts - 1, send.engine, patience});
 }
@@ -355,13 +355,13 @@
   if (at == open_.end()) return;
   Open& open = at->second;
   if (open.out != Out::kOut || cancel.attempt != open.attempts - 1) return;
-  give_up(open, Outcome::kRevoked, EndCause::kCalledOff);
+  give_up(open, Outcome::kCancelled, EndCause::kCalledOff);
 }
 
 void Coordinator::carry_out(const Refuse& refuse) {
   const auto at = open_.find(refuse.id);
   if (at == open_.end()) return;
-  finish(at->second, {Verdict::kRefused, settings_.retry_after ? refuse.wait : Micros{0}, {}},
+  finish(at->second, {Verdict::kRefused, settings_.may_send_retry_after ? refuse.retry_after : Micros{0}, {}},
          kReasons[static_cast<std::size_t>(refuse.reason)]);
   forget(refuse.id);
 }
--- a/src/core/coordinator.h
+++ b/src/core/coordinator.h
@@ -35,10 +35,10 @@
   void arrived(Query query);
   void client_gone(RequestId id);
   void attempt_ended(AttemptEnd end);
-  void noted(Note note);
+  void noted(ProgressReport note);
   void probed(ProbeResult result);
   void listed(ListMode mode, std::vector<EngineEntry> entries, std::vector<EngineChange> changes);
-  void routes(RoutesNews news) { gather(std::move(news)); }
+  void routes(RoutesUpdate news) { gather(std::move(news)); }
 
   // Asks for a turn, at the end of which what waits to be written leaves.
   void wake();
@@ -95,8 +95,8 @@
   void carry_out(const Probe& probe);
   void carry_out(const Timer& timer);
   void carry_out(const Log& text);
-  void carry_out(const Terms&) {}      // engines choose memory themselves and heed no priority
-  void carry_out(const Subscribe&) {}  // the directory is followed from the start
+  void carry_out(const SetResources&) {}  // engines choose memory themselves and heed no priority
+  void carry_out(const Subscribe&) {}     // the directory is followed from the start
   void carry_out(const FetchList&) {}
 
   Strand strand_;
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -76,7 +76,7 @@
   int engine{};
   std::string name;
   std::string address;
-  Standing standing{Standing::kReady};
+  EngineStatus standing{EngineStatus::kReady};
   Micros came_up{0};
 };
 
@@ -89,8 +89,8 @@
   virtual void arrived(const Query& query, Arrival& arrival) = 0;
   virtual void left(RequestId id, How how) = 0;
   // The list as it has just changed; what the module has to hear of it, if anything.
-  virtual std::optional<RoutesNews> listed(ListMode mode, const std::vector<EngineEntry>& entries,
-                                           const std::vector<EngineChange>& changes) = 0;
+  virtual std::optional<RoutesUpdate> listed(ListMode mode, const std::vector<EngineEntry>& entries,
+                                             const std::vector<EngineChange>& changes) = 0;
 };
 
 class Engines {
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -60,7 +60,7 @@
       commits(m.gauge("steprail_edge_ledger_commits_total", "Transactions of the ledger.")),
       records(m.gauge("steprail_edge_ledger_records_total", "Records in them.")) {}
 
-Edge::Edge(Strand strand, Coordinator& coordinator, EventLog& log, Metrics& metrics, const Tables& tables,
+Edge::Edge(Strand strand, Coordinator& coordinator, EventLog& log, Metrics& metrics, const NameTables& tables,
            spool::Spool& spool, const EdgeConf& conf, std::uint64_t seed, std::unique_ptr<spool::Index> index)
     : strand_(strand),
       coordinator_(coordinator),
@@ -115,7 +115,7 @@
   for (int i = 0; i < tables_.tenants.size(); ++i) settings.tenants.push_back(tables_.tenants.name(i));
   for (int i = 0; i < tables_.classes.size(); ++i)
     settings.once[tables_.classes.name(i)] =
-        coordinator_.settings().classes[static_cast<std::size_t>(i)].effect != Effect::kRepeatable;
+        coordinator_.settings().classes[static_cast<std::size_t>(i)].idempotency != Idempotency::kIdempotent;
   return settings;
 }
 
@@ -202,8 +202,8 @@
   Running& running = running_[act.request];
   running.tenant = act.tenant;
   running.give_up = now() + query.limit;
-  running.repeatable =
-      coordinator_.settings().classes[static_cast<std::size_t>(query.cls)].effect == Effect::kRepeatable;
+  running.repeatable = coordinator_.settings().classes[static_cast<std::size_t>(query.cls)].idempotency ==
+                       Idempotency::kIdempotent;
   running.spooled = spool_.submitted(query.id, query.tenant, act.request | kOwnReader, query.limit);
   if (running.spooled) {
     query.sink = &spool_;
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -32,7 +32,7 @@
  public:
   // Throws std::runtime_error where the ledger's folder or the secret's file cannot be used. `index` stands
   // in for the folder in tests.
-  Edge(Strand strand, Coordinator& coordinator, EventLog& log, Metrics& metrics, const Tables& tables,
+  Edge(Strand strand, Coordinator& coordinator, EventLog& log, Metrics& metrics, const NameTables& tables,
        spool::Spool& spool, const EdgeConf& conf, std::uint64_t seed,
        std::unique_ptr<spool::Index> index = nullptr);
   ~Edge() override;
@@ -84,7 +84,7 @@
   Strand strand_;
   Coordinator& coordinator_;
   EventLog& log_;
-  const Tables& tables_;
+  const NameTables& tables_;
   spool::Spool& spool_;
   int number_;  // among the coordinator's fronts
   std::unique_ptr<EdgeLogic> logic_;
--- a/src/net/directory.cpp
+++ b/src/net/directory.cpp
@@ -24,15 +24,15 @@
 // over.
 constexpr int kBadMost = 3;
 
-const std::map<std::string, Standing> kStates = {
-    {"active", Standing::kReady}, {"leaving", Standing::kDraining}, {"left", Standing::kGone}};
+const std::map<std::string, EngineStatus> kStates = {
+    {"active", EngineStatus::kReady}, {"leaving", EngineStatus::kDraining}, {"left", EngineStatus::kGone}};
 
 struct Missing : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 }  // namespace
 
-Directory::Directory(Strand strand, Coordinator& coordinator, EventLog& log, Tables& tables,
+Directory::Directory(Strand strand, Coordinator& coordinator, EventLog& log, NameTables& tables,
                      tcp::endpoint source, Micros reference, std::uint64_t seed)
     : strand_(strand),
       coordinator_(coordinator),
@@ -167,26 +167,26 @@
   Row read;
   const std::string name = row.at("name");
   if (name.empty()) throw std::runtime_error("a name is empty");
-  const Standing standing = choose(row.at("status").get<std::string>(), kStates, "status");
+  const EngineStatus standing = parse_enum(row.at("status").get<std::string>(), kStates, "status");
   const auto known = rows_.find(tables_.engines.index(name));
-  if (standing != Standing::kReady && known != rows_.end()) {
+  if (standing != EngineStatus::kReady && known != rows_.end()) {
     // Of one that goes nothing more has to be understood than which it is: a drain must be heard of.
     read = known->second;
   } else {
-    read.entry.zone = tables_.zones.find(row.at("zone"), "zone");
-    read.entry.kind = tables_.kinds.find(row.at("type"), "type");
+    read.entry.zone = tables_.zones.index_or_throw(row.at("zone"), "zone");
+    read.entry.kind = tables_.kinds.index_or_throw(row.at("type"), "type");
     read.entry.cell = optional_field(row, "group", 0);
     read.entry.weight = optional_field(row, "weight", 1.0);
-    read.entry.came_up = Micros{optional_field<std::int64_t>(row, "since_ms", 0) * 1000};
+    read.entry.started_at = Micros{optional_field<std::int64_t>(row, "since_ms", 0) * 1000};
     read.change.address = row.at("address");
     if (!parse_address(read.change.address))
       throw std::runtime_error("no address: '" + read.change.address + "'");
   }
   // Last: a row that is left out takes no number.
   read.entry.engine = tables_.engines.add(name);
-  read.entry.name = name_hash(name);
-  read.entry.standing = standing;
-  read.change = {read.entry.engine, name, read.change.address, standing, read.entry.came_up};
+  read.entry.name_hash = name_hash(name);
+  read.entry.status = standing;
+  read.change = {read.entry.engine, name, read.change.address, standing, read.entry.started_at};
   return read;
 }
 
@@ -195,7 +195,7 @@
 void Directory::forget_gone() {
   std::erase_if(gone_, [this](const auto& entry) {
     if (coordinator_.now() - entry.second <= reference_) return false;
-    tables_.engines.forget(entry.first);
+    tables_.engines.remove(entry.first);
     rows_.erase(entry.first);
     return true;
   });
@@ -234,15 +234,15 @@
     log_.line("rows of event " + std::to_string(index) +
               " left out besides: " + std::to_string(left_out - kLeftOutLines));
   // What a whole list does not hold is gone.
-  for (const auto& [name, engine] : tables_.engines.known()) {
+  for (const auto& [name, engine] : tables_.engines.by_name()) {
     if (!whole || named.contains(engine)) continue;
     const EngineChange& was = rows_[engine].change;
-    changes.push_back({engine, name, was.address, Standing::kGone, was.came_up});
+    changes.push_back({engine, name, was.address, EngineStatus::kGone, was.came_up});
   }
   for (const EngineChange& change : changes) {
-    if (change.standing == Standing::kGone) {
+    if (change.standing == EngineStatus::kGone) {
       gone_.try_emplace(change.engine, coordinator_.now());
-      rows_[change.engine].change.standing = Standing::kGone;
+      rows_[change.engine].change.standing = EngineStatus::kGone;
     } else {
       gone_.erase(change.engine);
     }
--- a/src/net/directory.h
+++ b/src/net/directory.h
@@ -17,7 +17,7 @@
 class Directory {
  public:
   // An engine that is gone for longer than `reference` is in nobody's hands any more.
-  Directory(Strand strand, Coordinator& coordinator, EventLog& log, Tables& tables, tcp::endpoint source,
+  Directory(Strand strand, Coordinator& coordinator, EventLog& log, NameTables& tables, tcp::endpoint source,
             Micros reference, std::uint64_t seed);
 
   // The events of the start, as the configuration holds them.
@@ -43,7 +43,7 @@
   Strand strand_;
   Coordinator& coordinator_;
   EventLog& log_;
-  Tables& tables_;
+  NameTables& tables_;
   tcp::endpoint source_;
   tcp::socket socket_;
   boost::asio::steady_timer silence_, pause_;
--- a/src/net/engine_line.cpp
+++ b/src/net/engine_line.cpp
@@ -29,11 +29,11 @@
     const std::string_view name = cut(pair, ':');
     const auto value = parse_number(pair);
     if (!value) return false;
-    if (name == "util" || name == "load_share") report.utilisation = value;
+    if (name == "util" || name == "load_share") report.cpu_utilisation = value;
     if (name == "inflight" || name == "concurrent") report.in_flight = value;
-    if (name == "queue" || name == "depth") report.waiting = value;
-    if (name == "x0") report.memory = value;
-    if (name == "x1") report.disks = value;
+    if (name == "queue" || name == "depth") report.queued = value;
+    if (name == "x0") report.memory_utilisation = value;
+    if (name == "x1") report.disk_utilisation = value;
   }
   return true;
 }
--- a/src/net/engine_pool.cpp
+++ b/src/net/engine_pool.cpp
@@ -170,7 +170,7 @@
     }
     for (const std::uint64_t number : late) probe_ended(number, false, {});
     std::erase_if(retired_, [now](const auto& entry) { return now > entry.second; });
-    const bool gone = pool_.engines_[static_cast<std::size_t>(engine_)].standing == Standing::kGone;
+    const bool gone = pool_.engines_[static_cast<std::size_t>(engine_)].standing == EngineStatus::kGone;
     if (idle() && up_ && (gone || idle_for() > kIdlePart)) return close({});
     if (partial_since_.count() > 0 && now - partial_since_ > kAnswerMost) return spoilt("cut answer");
     for (const auto& [_, slot] : slots_) {
@@ -211,8 +211,9 @@
       if (slot.sink != nullptr) slot.sink->lost(id, slot.attempt);
       // What the engine cannot have read whole never ran; of the rest nobody knows.
       const bool unwritten = !up_ || out_.holds(slot.tag);
-      const Outcome lost = lost_by_ == EndCause::kSpoiltAnswer ? Outcome::kAppError : Outcome::kDropped;
-      end(id, slot, unwritten ? Outcome::kDialFailed : lost, up_ ? lost_by_ : EndCause::kNoConnection, {},
+      const Outcome lost =
+          lost_by_ == EndCause::kSpoiltAnswer ? Outcome::kAppError : Outcome::kConnectionLost;
+      end(id, slot, unwritten ? Outcome::kConnectFailed : lost, up_ ? lost_by_ : EndCause::kNoConnection, {},
           {});
     }
     const auto probes = std::exchange(probes_, {});
@@ -335,7 +336,7 @@
       case Word::kStale:
         // What was acknowledged has run: this is no proof of the contrary.
         if (slot.count > 0) return false;
-        finished(at, Outcome::kShed,
+        finished(at, Outcome::kRejected,
                  answer.word == Word::kAgain ? EndCause::kEngineFull : EndCause::kEngineStale, answer.report);
         return true;
       case Word::kEio:
@@ -359,11 +360,11 @@
   }
 
   void note(RequestId id, const Slot& slot, const EngineAnswer& answer) {
-    Note note{id, slot.attempt, engine_, Topic::kProgress, answer.reading};
+    ProgressReport note{id, slot.attempt, engine_, ProgressTopic::kProgress, answer.reading};
     if (answer.why == "overflow") {
-      note.topic = Topic::kSpills;
+      note.topic = ProgressTopic::kSpill;
     } else if (answer.why == "queued") {
-      note.topic = Topic::kWaits;
+      note.topic = ProgressTopic::kWaiting;
     } else if (answer.why != "pct") {
       return;
     }
@@ -473,8 +474,8 @@
   const bool moved = engine.address != change.address;
   const auto lines = engine.lines;
   for (const auto& line : lines) {
-    if (change.standing != Standing::kReady) line->take_back_unsent();
-    if (change.standing == Standing::kGone && line->idle()) {
+    if (change.standing != EngineStatus::kReady) line->take_back_unsent();
+    if (change.standing == EngineStatus::kGone && line->idle()) {
       line->close({});
       continue;
     }
@@ -491,7 +492,7 @@
 
 bool EnginePool::runs_once(const Query& query) const {
   const auto& classes = coordinator_.settings().classes;
-  return classes[static_cast<std::size_t>(query.cls)].effect == Effect::kOnce;
+  return classes[static_cast<std::size_t>(query.cls)].idempotency == Idempotency::kNone;
 }
 
 // An attempt gets a connection to itself as long as there are enough of them: what spoils, cuts or resets a
@@ -531,10 +532,10 @@
   std::shared_ptr<Line> oldest, only;
   for (std::size_t i = 0; i < engines_.size(); ++i) {
     const Engine& engine = engines_[i];
-    if (i != number && engine.standing == Standing::kReady && engine.lines.empty()) ++owed;
+    if (i != number && engine.standing == EngineStatus::kReady && engine.lines.empty()) ++owed;
     for (const auto& line : engine.lines) {
       if (!line->idle()) continue;
-      const bool spare = i == number || engine.lines.size() > 1 || engine.standing != Standing::kReady;
+      const bool spare = i == number || engine.lines.size() > 1 || engine.standing != EngineStatus::kReady;
       std::shared_ptr<Line>& least = spare ? oldest : only;
       if (!least || line->used() < least->used()) least = line;
     }
@@ -549,7 +550,7 @@
 
 void EnginePool::send(const Dispatch& dispatch) {
   const auto index = static_cast<std::size_t>(dispatch.engine);
-  const bool open = index < engines_.size() && engines_[index].standing == Standing::kReady;
+  const bool open = index < engines_.size() && engines_[index].standing == EngineStatus::kReady;
   const auto line = open ? pick(dispatch.engine, dispatch.query.id, runs_once(dispatch.query)) : nullptr;
   if (!line) return never_written(dispatch.query.id, dispatch.attempt, EndCause::kNoConnection);
   where_[dispatch.query.id] = line;
@@ -558,7 +559,7 @@
 
 void EnginePool::never_written(RequestId id, int attempt, EndCause cause) {
   where_.erase(id);
-  coordinator_.attempt_ended({id, attempt, Outcome::kDialFailed, cause, {}, {}});
+  coordinator_.attempt_ended({id, attempt, Outcome::kConnectFailed, cause, {}, {}});
 }
 
 void EnginePool::give_up(RequestId id, int attempt) {
--- a/src/net/engine_pool.h
+++ b/src/net/engine_pool.h
@@ -42,7 +42,7 @@
   struct Engine {
     std::string name, address;
     std::optional<tcp::endpoint> endpoint;
-    Standing standing{Standing::kGone};
+    EngineStatus standing{EngineStatus::kGone};
     Micros came_up{0};
     std::vector<std::shared_ptr<Line>> lines;
   };
--- a/src/net/front.cpp
+++ b/src/net/front.cpp
@@ -83,7 +83,7 @@
   std::unordered_map<std::int32_t, RequestId> open_;
 };
 
-ThriftFront::ThriftFront(Strand strand, Coordinator& coordinator, EventLog& log, const Tables& tables,
+ThriftFront::ThriftFront(Strand strand, Coordinator& coordinator, EventLog& log, const NameTables& tables,
                          Limits limits)
     : FramedServer(strand, coordinator, log, limits), tables_(tables), number_(coordinator.attach(*this)) {}
 
--- a/src/net/front.h
+++ b/src/net/front.h
@@ -8,7 +8,8 @@
 
 class ThriftFront : public Front, public FramedServer {
  public:
-  ThriftFront(Strand strand, Coordinator& coordinator, EventLog& log, const Tables& tables, Limits limits);
+  ThriftFront(Strand strand, Coordinator& coordinator, EventLog& log, const NameTables& tables,
+              Limits limits);
 
   void answer(const Ticket& ticket, Answer answer) override;
   void flush() override { write_dirty(); }
@@ -17,7 +18,7 @@
   class Client;
   std::shared_ptr<Session> open(tcp::socket socket, std::uint64_t number) override;
 
-  const Tables& tables_;
+  const NameTables& tables_;
   const int number_;  // among the coordinator's fronts
 };
 
--- a/src/net/query_fields.cpp
+++ b/src/net/query_fields.cpp
@@ -8,7 +8,7 @@
 constexpr std::int64_t kLimitMost = 1'000'000'000;  // ms: beyond every class's, and far from running over
 }
 
-const char* read_query(const thrift::Fields& fields, const Tables& tables, Coordinator& coordinator,
+const char* read_query(const thrift::Fields& fields, const NameTables& tables, Coordinator& coordinator,
                        Query& query) {
   std::optional<RequestId> id;
   std::optional<std::int64_t> limit;
--- a/src/net/query_fields.h
+++ b/src/net/query_fields.h
@@ -9,7 +9,7 @@
 
 // Fills the query in, its ticket and statement excepted. Null if it can be used, else the name of what
 // cannot.
-const char* read_query(const thrift::Fields& fields, const Tables& tables, Coordinator& coordinator,
+const char* read_query(const thrift::Fields& fields, const NameTables& tables, Coordinator& coordinator,
                        Query& query);
 
 // The field's value; empty where it is not there.
--- a/src/operator.cpp
+++ b/src/operator.cpp
@@ -62,7 +62,7 @@
   return conf;
 }
 
-routes::RouteSet routes_of(const OperatorConf& conf, const Settings& settings, const Tables& tables) {
+routes::RouteSet routes_of(const OperatorConf& conf, const Settings& settings, const NameTables& tables) {
   std::vector<routes::Wrong> wrong;
   routes::RouteSet set = routes::checked(conf.routes, settings, tables, wrong);
   std::vector<conf::Fault> faults;
--- a/src/operator.h
+++ b/src/operator.h
@@ -23,7 +23,7 @@
 
 // The routes, resolved and checked against the platform's settings. Throws std::runtime_error with all
 // faults.
-routes::RouteSet routes_of(const OperatorConf& conf, const Settings& settings, const Tables& tables);
+routes::RouteSet routes_of(const OperatorConf& conf, const Settings& settings, const NameTables& tables);
 
 // Registers every part's block; a document that is applied fills `into` in.
 void register_all(conf::Schema& schema, OperatorConf& into);
--- a/src/routes/check/check.cpp
+++ b/src/routes/check/check.cpp
@@ -38,7 +38,7 @@
 
 class Checker {
  public:
-  Checker(const RouteConf& conf, const RouteSet& set, const Settings& settings, const Tables& tables)
+  Checker(const RouteConf& conf, const RouteSet& set, const Settings& settings, const NameTables& tables)
       : conf_(conf), set_(set), s_(settings), tables_(tables) {}
 
   std::vector<Finding> run() {
@@ -82,7 +82,7 @@
     });
   }
   int most_tries(std::size_t route) const {
-    return terms(route).attempts > 0 ? std::min(terms(route).attempts, s_.most_tries) : s_.most_tries;
+    return terms(route).attempts > 0 ? std::min(terms(route).attempts, s_.max_attempts) : s_.max_attempts;
   }
   Micros patience(std::size_t route, std::size_t attempt, int cls) const {
     const auto& all = terms(route).patience;
@@ -92,7 +92,7 @@
   // A second attempt of what must not run twice. The module would not make it; a file that asks for it is
   // wrong.
   void second_run(std::size_t r, int cls) {
-    if (of(cls).effect != Effect::kOnce || terms(r).attempts < 2) return;
+    if (of(cls).idempotency != Idempotency::kNone || terms(r).attempts < 2) return;
     z3::context& z = z_;
     z3::expr_vector holds(z);
     const z3::expr attempts = z.int_const("attempts"), first_ran = z.bool_const("first_ran");
@@ -131,7 +131,7 @@
   // Patience and pauses together go beyond the time at which the client gives up.
   void beyond_limit(std::size_t r, int cls) {
     if (terms(r).patience.empty() && terms(r).pause.count() == 0) return;
-    const bool once = of(cls).effect == Effect::kOnce;
+    const bool once = of(cls).idempotency == Idempotency::kNone;
     const int most = once ? 1 : most_tries(r);
     z3::context& z = z_;
     z3::expr_vector holds(z);
@@ -233,7 +233,7 @@
 
   // A pool that returns cold gets more than the rule on cold engines leaves them at some moment.
   void cold_starts() {
-    if (s_.cold_for.count() <= 0 || s_.cold_from >= 1) return;
+    if (s_.slow_start_time.count() <= 0 || s_.slow_start_share >= 1) return;
     for (std::size_t p = 0; p < set_.pools.size(); ++p) {
       const Pool& pool = set_.pools[p];
       if (pool.slow_start.count() == 0) continue;
@@ -241,11 +241,11 @@
       z3::optimize solver(z);
       const z3::expr age = z.real_const("age"),
                      time = real(z, static_cast<double>(pool.slow_start.count()) / 1e6);
-      const z3::expr cold = real(z, static_cast<double>(s_.cold_for.count()) / 1e6);
+      const z3::expr cold = real(z, static_cast<double>(s_.slow_start_time.count()) / 1e6);
       const z3::expr from = real(z, pool.slow_from);
       solver.add(age >= 0 && age < cold);
       const z3::expr share = z3::ite(age >= time, z.real_val(1), from + (z.real_val(1) - from) * age / time);
-      solver.add(share > real(z, s_.cold_from * std::max(1.0, s_.overload_factor)));
+      solver.add(share > real(z, s_.slow_start_share * std::max(1.0, s_.overload_factor)));
       solver.minimize(age);
       if (solver.check() != z3::sat) continue;
       found_.push_back({or_else(conf_.pools[p].start_line, pool.line),
@@ -253,8 +253,8 @@
                         "pool '" + pool.name + "' starts from " + percent(pool.slow_from) +
                             " and is full after " + seconds(static_cast<double>(pool.slow_start.count())) +
                             "; its engines are cold for " +
-                            seconds(static_cast<double>(s_.cold_for.count())) + " and can do " +
-                            percent(s_.cold_from) + " then",
+                            seconds(static_cast<double>(s_.slow_start_time.count())) + " and can do " +
+                            percent(s_.slow_start_share) + " then",
                         -1,
                         {}});
     }
@@ -263,7 +263,7 @@
   // Any mix of traffic over the routes: together they may not make more further attempts than the rule
   // allows.
   void rations() {
-    if (!s_.extra_ratio) return;
+    if (!s_.retry_budget_ratio) return;
     z3::context& z = z_;
     z3::optimize solver(z);
     z3::expr all = z.real_val(0), extra = z.real_val(0);
@@ -275,7 +275,7 @@
       if (terms(r).ration) extra = extra + parts.back() * real(z, *terms(r).ration);
     }
     if (parts.empty()) return;
-    solver.add(all == 1 && extra > real(z, *s_.extra_ratio));
+    solver.add(all == 1 && extra > real(z, *s_.retry_budget_ratio));
     solver.maximize(extra);
     if (solver.check() != z3::sat) return;
     const z3::model model = solver.get_model();
@@ -284,7 +284,7 @@
       found_.push_back({or_else(conf_.routes[r].ration_line, set_.routes[r].line),
                         Finding::Rule::kRation,
                         "route '" + set_.routes[r].name + "' may try again for " + percent(*terms(r).ration) +
-                            " of its requests, the rule allows " + percent(*s_.extra_ratio) +
+                            " of its requests, the rule allows " + percent(*s_.retry_budget_ratio) +
                             ": broken where all requests take this route",
                         -1,
                         {}});
@@ -294,7 +294,7 @@
   const RouteConf& conf_;
   const RouteSet& set_;
   const Settings& s_;
-  const Tables& tables_;
+  const NameTables& tables_;
   // Whether all of it can be at once. One solver for all questions: to make one takes longer than to ask it.
   bool possible(const z3::expr_vector& holds) {
     solver_.push();
@@ -312,7 +312,7 @@
 }  // namespace
 
 std::vector<Finding> check(const RouteConf& conf, const RouteSet& set, const Settings& settings,
-                           const Tables& tables) {
+                           const NameTables& tables) {
   return Checker(conf, set, settings, tables).run();
 }
 
--- a/src/routes/check/check.h
+++ b/src/routes/check/check.h
@@ -25,6 +25,6 @@
 
 // `set` is what resolve() made of `conf` without a fault.
 std::vector<Finding> check(const RouteConf& conf, const RouteSet& set, const Settings& settings,
-                           const Tables& tables);
+                           const NameTables& tables);
 
 }  // namespace steprail::routes
--- a/src/routes/checked.cpp
+++ b/src/routes/checked.cpp
@@ -4,12 +4,12 @@
 
 namespace steprail::routes {
 
-RouteSet checked(const RouteConf& conf, const Settings& settings, const Tables& tables,
+RouteSet checked(const RouteConf& conf, const Settings& settings, const NameTables& tables,
                  std::vector<Wrong>& wrong) {
   RouteSet set = resolve(conf, tables, wrong);
   if (!wrong.empty() || !conf.on()) return set;
   using Check =
-      void (*)(const RouteConf*, const RouteSet*, const Settings*, const Tables*, std::vector<Finding>*);
+      void (*)(const RouteConf*, const RouteSet*, const Settings*, const NameTables*, std::vector<Finding>*);
   std::string fault;
   const auto check = reinterpret_cast<Check>(solver_function("steprail_check_routes", fault));
   if (check == nullptr) {
--- a/src/routes/checked.h
+++ b/src/routes/checked.h
@@ -7,7 +7,7 @@
 
 // What is wrong comes out with its line. The checker is the library libsteprail_check.so beside the program;
 // without it, or where it cannot be loaded, that is what is wrong.
-RouteSet checked(const RouteConf& conf, const Settings& settings, const Tables& tables,
+RouteSet checked(const RouteConf& conf, const Settings& settings, const NameTables& tables,
                  std::vector<Wrong>& wrong);
 
 }  // namespace steprail::routes
--- a/src/routes/logic/route_logic.cpp
+++ b/src/routes/logic/route_logic.cpp
@@ -109,23 +109,23 @@
   open.limits->places.left(now - open.since, how == How::kServed, how != How::kGone, now);
 }
 
-RoutesNews RouteLogic::news() const {
-  RoutesNews news;
+RoutesUpdate RouteLogic::news() const {
+  RoutesUpdate news;
   for (std::size_t i = 0; i < set_.routes.size(); ++i) {
     const Terms& terms = set_.routes[i].terms;
-    RouteFigures figures;
-    figures.number = by_route_[i]->number;
-    figures.most_tries = terms.attempts;
-    figures.patience = terms.patience;
-    figures.pause = terms.pause;
-    figures.jitter = terms.jitter;
+    RouteParameters figures;
+    figures.id = by_route_[i]->number;
+    figures.max_attempts = terms.attempts;
+    figures.attempt_timeouts = terms.patience;
+    figures.retry_delay = terms.pause;
+    figures.retry_jitter = terms.jitter;
     figures.move_after = terms.move_after;
-    figures.ration = terms.ration;
-    figures.ration_burst = terms.ration_burst;
+    figures.retry_budget_ratio = terms.ration;
+    figures.retry_budget_burst = terms.ration_burst;
     figures.pool = pool_of_[i];
     figures.memory_mb = terms.memory_mb;
     figures.priority = terms.priority;
-    news.routes.push_back(std::make_shared<const RouteFigures>(std::move(figures)));
+    news.routes.push_back(std::make_shared<const RouteParameters>(std::move(figures)));
   }
   news.pools = members_;
   return news;
--- a/src/routes/logic/route_logic.h
+++ b/src/routes/logic/route_logic.h
@@ -55,7 +55,7 @@
   // The whole list as it is now.
   void engines(const std::vector<Engine>& engines, Micros now);
   // What the module is to hear: the figures of all routes, and each pool's engines.
-  RoutesNews news() const;
+  RoutesUpdate news() const;
 
   const RouteSet& set() const { return set_; }
   struct Standing {
--- a/src/routes/plan/plan.cpp
+++ b/src/routes/plan/plan.cpp
@@ -40,7 +40,7 @@
 // All options that keep to the limit: patience on a geometric grid, up to what is left for each attempt.
 std::vector<Option> options(const Stream& stream, const ClassSettings& cls, int most_tries) {
   std::vector<Option> found;
-  const int most = cls.effect == Effect::kOnce ? 1 : most_tries;
+  const int most = cls.idempotency == Idempotency::kNone ? 1 : most_tries;
   for (int n = 1; n <= most; ++n) {
     const Micros longest{cls.hard_limit.count() / n};
     found.push_back({n, longest, expected(stream, cls, n, longest)});
@@ -75,7 +75,7 @@
   return out;
 }
 
-Plan plan(const Traffic& traffic, const Settings& settings, const Tables& tables) {
+Plan plan(const Traffic& traffic, const Settings& settings, const NameTables& tables) {
   Plan out;
   struct Row {
     const Stream* stream;
@@ -93,7 +93,7 @@
       return out;
     }
     const ClassSettings& settings_of = settings.classes[static_cast<std::size_t>(cls)];
-    rows.push_back({&stream, &settings_of, options(stream, settings_of, settings.most_tries), {}, 0});
+    rows.push_back({&stream, &settings_of, options(stream, settings_of, settings.max_attempts), {}, 0});
   }
   if (rows.empty()) {
     out.fault = "there is no traffic to plan for";
@@ -113,7 +113,7 @@
   };
   const int load = glp_add_rows(lp, 1);
   glp_set_row_bnds(lp, load, GLP_UP, 0, capacity);
-  const int extra = settings.extra_ratio ? glp_add_rows(lp, 1) : 0;
+  const int extra = settings.retry_budget_ratio ? glp_add_rows(lp, 1) : 0;
   if (extra > 0) glp_set_row_bnds(lp, extra, GLP_UP, 0, 0);
   std::vector<int> first_column;
   for (const Row& row : rows) {
@@ -131,7 +131,7 @@
       glp_set_row_bnds(lp, within, GLP_UP, 0, 0);
       put(within, let_in, 1), put(within, chosen, -1);
       put(load, let_in, row.stream->rate * e.busy_ms);
-      if (extra > 0) put(extra, let_in, row.stream->rate * (e.extra - *settings.extra_ratio));
+      if (extra > 0) put(extra, let_in, row.stream->rate * (e.extra - *settings.retry_budget_ratio));
     }
   }
   glp_load_matrix(lp, static_cast<int>(value.size()) - 1, row_of.data(), column_of.data(), value.data());
@@ -175,7 +175,7 @@
     const auto without = [&](int attempts, Micros patience) {
       return worth - stream.rate * row.admitted * expected(stream, *row.cls, attempts, patience).worth;
     };
-    if (row.cls->effect != Effect::kOnce)
+    if (row.cls->idempotency != Idempotency::kNone)
       route.lines.push_back({"attempts " + std::to_string(option.attempts), without(1, option.patience)});
     if (option.patience < row.cls->hard_limit)
       route.lines.push_back({"patience " + std::to_string(option.patience.count() / 1000) + "ms",
--- a/src/routes/plan/plan.h
+++ b/src/routes/plan/plan.h
@@ -52,6 +52,6 @@
 };
 Expected expected(const Stream& stream, const ClassSettings& cls, int attempts, Micros patience);
 
-Plan plan(const Traffic& traffic, const Settings& settings, const Tables& tables);
+Plan plan(const Traffic& traffic, const Settings& settings, const NameTables& tables);
 
 }  // namespace steprail::routes
--- a/src/routes/routes.cpp
+++ b/src/routes/routes.cpp
@@ -6,7 +6,8 @@
   return {query.cls, query.tenant, query.group, query.ticket.front, query.estimate_ms, query.memory_mb};
 }
 
-Routes::Routes(Coordinator& coordinator, EventLog& log, Metrics& metrics, const Tables& tables, RouteSet set)
+Routes::Routes(Coordinator& coordinator, EventLog& log, Metrics& metrics, const NameTables& tables,
+               RouteSet set)
     : coordinator_(coordinator),
       log_(log),
       tables_(tables),
@@ -34,7 +35,7 @@
 void Routes::arrived(const Query& query, Arrival& arrival) {
   const RouteLogic::Entry entry = logic_.arrived(query.id, facts_of(query), coordinator_.now());
   arrival.route = entry.route;
-  arrival.no_place = entry.let != Let::kIn;
+  arrival.route_full = entry.let != Let::kIn;
 }
 
 void Routes::left(RequestId id, How how) {
@@ -47,12 +48,12 @@
               coordinator_.now());
 }
 
-std::optional<RoutesNews> Routes::listed(ListMode mode, const std::vector<EngineEntry>& entries,
-                                         const std::vector<EngineChange>&) {
+std::optional<RoutesUpdate> Routes::listed(ListMode mode, const std::vector<EngineEntry>& entries,
+                                           const std::vector<EngineChange>&) {
   if (mode == ListMode::kFailed) return std::nullopt;
   if (mode != ListMode::kIncremental) engines_.clear();
   for (const EngineEntry& entry : entries) {
-    if (entry.standing == Standing::kGone) {
+    if (entry.status == EngineStatus::kGone) {
       engines_.erase(entry.engine);
     } else {
       engines_[entry.engine] = {entry.engine, tables_.engines.name(entry.engine), entry.zone, entry.kind};
@@ -62,7 +63,7 @@
   for (const auto& [_, engine] : engines_) now.push_back(engine);
   const auto before = logic_.news().pools;
   logic_.engines(now, coordinator_.now());
-  RoutesNews news = logic_.news();
+  RoutesUpdate news = logic_.news();
   if (news.pools == before) return std::nullopt;
   return news;
 }
--- a/src/routes/routes.h
+++ b/src/routes/routes.h
@@ -13,14 +13,14 @@
 
 class Routes : public Routing {
  public:
-  Routes(Coordinator& coordinator, EventLog& log, Metrics& metrics, const Tables& tables, RouteSet set);
+  Routes(Coordinator& coordinator, EventLog& log, Metrics& metrics, const NameTables& tables, RouteSet set);
   void reconfigure(RouteSet set);
 
   // ---- Routing ----
   void arrived(const Query& query, Arrival& arrival) override;
   void left(RequestId id, How how) override;
-  std::optional<RoutesNews> listed(ListMode mode, const std::vector<EngineEntry>& entries,
-                                   const std::vector<EngineChange>& changes) override;
+  std::optional<RoutesUpdate> listed(ListMode mode, const std::vector<EngineEntry>& entries,
+                                     const std::vector<EngineChange>& changes) override;
 
   void observe();
   const RouteLogic& logic() const { return logic_; }
@@ -29,7 +29,7 @@
   std::vector<double> weights() const;
   Coordinator& coordinator_;
   EventLog& log_;
-  const Tables& tables_;
+  const NameTables& tables_;
   RouteLogic logic_;
   std::map<int, RouteLogic::Engine> engines_;
   prometheus::Gauge &open_, &entered_, &turned_;
--- a/src/routes/settings.cpp
+++ b/src/routes/settings.cpp
@@ -203,14 +203,15 @@
       });
 }
 
-RouteSet resolve(const RouteConf& conf, const Tables& tables, std::vector<Wrong>& wrong) {
+RouteSet resolve(const RouteConf& conf, const NameTables& tables, std::vector<Wrong>& wrong) {
   RouteSet set;
-  const auto index = [&](const Names& names, const std::string& name, const char* what, std::size_t line) {
+  const auto index = [&](const NameTable& names, const std::string& name, const char* what,
+                         std::size_t line) {
     if (name.empty()) return -1;
     const int at = names.index(name);
     if (at >= 0) return at;
     std::vector<std::string> known;
-    for (const auto& [one, _] : names.known()) known.push_back(one);
+    for (const auto& [one, _] : names.by_name()) known.push_back(one);
     const std::string near = conf::nearest(name, known);
     wrong.push_back({line, std::string("no ") + what + " is named '" + name + "'" +
                                (near.empty() ? "" : "; did you mean '" + near + "'?")});
--- a/src/routes/settings.h
+++ b/src/routes/settings.h
@@ -38,6 +38,6 @@
   std::string text;
 };
 // Names to indices; ambiguous routes and names that nobody has come out as faults.
-RouteSet resolve(const RouteConf& conf, const Tables& tables, std::vector<Wrong>& wrong);
+RouteSet resolve(const RouteConf& conf, const NameTables& tables, std::vector<Wrong>& wrong);
 
 }  // namespace steprail::routes
--- a/src/settings_json.cpp
+++ b/src/settings_json.cpp
@@ -11,14 +11,15 @@
 
 namespace {
 
-const std::map<std::string, Effect> kEffects = {
-    {"repeatable", Effect::kRepeatable}, {"by_key", Effect::kByKey}, {"once", Effect::kOnce}};
-const std::map<std::string, Scope> kScopes = {
-    {"all", Scope::kAll}, {"zone", Scope::kZone}, {"cell", Scope::kCell}};
-const std::map<std::string, Registry> kRegistries = {{"push", Registry::kPush}, {"ask", Registry::kAsk}};
-const std::map<std::string, Reports> kReports = {
-    {"piggyback", Reports::kPiggyback}, {"pull", Reports::kPull}, {"silent", Reports::kSilent}};
-std::vector<int> name_list(const json& from, const char* field, Names& names) {
+const std::map<std::string, Idempotency> kIdempotencies = {
+    {"repeatable", Idempotency::kIdempotent}, {"by_key", Idempotency::kByKey}, {"once", Idempotency::kNone}};
+const std::map<std::string, DedupScope> kDedupScopes = {
+    {"all", DedupScope::kAll}, {"zone", DedupScope::kZone}, {"cell", DedupScope::kCell}};
+const std::map<std::string, RegistryMode> kRegistryModes = {{"push", RegistryMode::kPush},
+                                                            {"ask", RegistryMode::kSubscribe}};
+const std::map<std::string, ReportMode> kReportModes = {
+    {"piggyback", ReportMode::kPiggyback}, {"pull", ReportMode::kPull}, {"silent", ReportMode::kNone}};
+std::vector<int> read_names(const json& from, const char* field, NameTable& names) {
   std::vector<int> indices;
   for (const json& name : optional_field(from, field, json::array())) indices.push_back(names.add(name));
   return indices;
@@ -28,85 +29,88 @@
 
 std::uint64_t name_hash(std::string_view name) { return XXH3_64bits(name.data(), name.size()); }
 
-Micros micros(const json& from, const char* field) {
-  if (!present(from, field)) return Micros{0};
+Micros read_micros(const json& from, const char* field) {
+  if (!has_field(from, field)) return Micros{0};
   const json& value = from.at(field);
   return Micros{value.is_number_float() ? std::llround(value.get<double>()) : value.get<std::int64_t>()};
 }
 
-Settings read_settings(const json& p, Tables& t) {
+Settings read_settings(const json& params, NameTables& tables) {
   Settings s;
-  for (const json& zone : p.at("localities")) t.zones.add(zone);
-  for (const json& kind : p.at("host_types")) t.kinds.add(kind);
-  s.gateways = p.at("balancers");
-  s.own_number = p.at("rank");
-  s.own_zone = t.zones.find(p.at("locality"), "zone");
-  const json& facts = optional_field(p, "family_info", json::object());
-  const auto cores = optional_field(facts, "cores_by_kind", std::vector<int>{});
-  const auto memory = optional_field(facts, "ram_of_kind_mb", std::vector<double>{});
-  const auto threads = optional_field(facts, "threads_by_class", std::vector<int>{});
-  const auto loads = optional_field(facts, "class_load", std::vector<bool>{});
-  const auto yields = optional_field(facts, "yields_to_loads", std::vector<bool>{});
-  for (const json& c : p.at("profiles")) {
-    const auto i = static_cast<std::size_t>(t.classes.add(c.at("name")));
+  for (const json& zone : params.at("localities")) tables.zones.add(zone);
+  for (const json& kind : params.at("host_types")) tables.kinds.add(kind);
+  s.gateways = params.at("balancers");
+  s.own_index = params.at("rank");
+  s.own_zone = tables.zones.index_or_throw(params.at("locality"), "zone");
+  const json& family = optional_field(params, "family_info", json::object());
+  const auto cores = optional_field(family, "cores_by_kind", std::vector<int>{});
+  const auto memory = optional_field(family, "ram_of_kind_mb", std::vector<double>{});
+  const auto threads = optional_field(family, "threads_by_class", std::vector<int>{});
+  const auto is_load = optional_field(family, "class_load", std::vector<bool>{});
+  const auto yields_to_load = optional_field(family, "yields_to_loads", std::vector<bool>{});
+  for (const json& profile : params.at("profiles")) {
+    const auto i = static_cast<std::size_t>(tables.classes.add(profile.at("name")));
     ClassSettings cls;
-    cls.objective = micros(c, "objective_us");
-    cls.aim_stretch = optional_field(c, "aim_stretch", 0.0);
-    cls.hard_limit = micros(c, "hard_limit_us");
-    cls.worth = optional_field(c, "worth", 1.0);
-    cls.late_share = optional_field(c, "late_share", 0.0);
-    cls.effect = choose(c.at("effect").get<std::string>(), kEffects, "effect");
-    cls.dedup_scope = choose(optional_field<std::string>(c, "dedup_scope", "all"), kScopes, "scope");
-    cls.dedup_window = micros(c, "dedup_window_us");
-    cls.keep_order = optional_field(c, "keep_order", false);
-    cls.streamed = optional_field(c, "streamed", false);
-    cls.zones = name_list(c, "confined_to", t.zones);
-    cls.kinds = name_list(c, "host_types_only", t.kinds);
+    cls.objective = read_micros(profile, "objective_us");
+    cls.aim_stretch = optional_field(profile, "aim_stretch", 0.0);
+    cls.hard_limit = read_micros(profile, "hard_limit_us");
+    cls.worth = optional_field(profile, "worth", 1.0);
+    cls.late_share = optional_field(profile, "late_share", 0.0);
+    cls.idempotency = parse_enum(profile.at("effect").get<std::string>(), kIdempotencies, "effect");
+    cls.dedup_scope =
+        parse_enum(optional_field<std::string>(profile, "dedup_scope", "all"), kDedupScopes, "scope");
+    cls.dedup_window = read_micros(profile, "dedup_window_us");
+    cls.keep_order = optional_field(profile, "keep_order", false);
+    cls.streamed = optional_field(profile, "streamed", false);
+    cls.zones = read_names(profile, "confined_to", tables.zones);
+    cls.kinds = read_names(profile, "host_types_only", tables.kinds);
     if (i < threads.size()) cls.threads = threads[i];
-    if (i < loads.size()) cls.load = loads[i];
-    if (i < yields.size()) cls.yields_to_load = yields[i];
+    if (i < is_load.size()) cls.is_load = is_load[i];
+    if (i < yields_to_load.size()) cls.yields_to_load = yields_to_load[i];
     s.classes.push_back(cls);
   }
-  for (const json& c : optional_field(p, "customers", json::array())) {
-    t.tenants.add(c.at("name"));
-    s.tenants.push_back({optional_field(c, "quota_rps", 0.0), optional_field(c, "share", 0.0)});
+  for (const json& customer : optional_field(params, "customers", json::array())) {
+    tables.tenants.add(customer.at("name"));
+    s.tenants.push_back({optional_field(customer, "quota_rps", 0.0), optional_field(customer, "share", 0.0)});
   }
-  s.zone_count = t.zones.size();
-  for (std::size_t i = 0; i < static_cast<std::size_t>(t.kinds.size()); ++i) {
+  s.zone_count = tables.zones.size();
+  for (std::size_t i = 0; i < static_cast<std::size_t>(tables.kinds.size()); ++i) {
     s.kinds.push_back({i < cores.size() ? cores[i] : 1, i < memory.size() ? memory[i] : 0.0});
   }
-  s.registry = choose(p.at("registry_mode").get<std::string>(), kRegistries, "registry mode");
-  const json& reports = optional_field(p, "reporting", json::object());
-  s.reports = choose(optional_field<std::string>(reports, "how", "silent"), kReports, "way of reporting");
-  const json& limits = p.at("limits");
+  s.registry_mode =
+      parse_enum(params.at("registry_mode").get<std::string>(), kRegistryModes, "registry mode");
+  const json& reporting = optional_field(params, "reporting", json::object());
+  s.report_mode =
+      parse_enum(optional_field<std::string>(reporting, "how", "silent"), kReportModes, "reporting mode");
+  const json& limits = params.at("limits");
   s.may_cancel = optional_field(limits, "may_cancel", false);
   s.may_probe = optional_field(limits, "may_probe", false);
   s.may_duplicate = optional_field(limits, "may_duplicate", false);
-  s.retry_after = optional_field(limits, "retry_after", false);
-  s.max_retry_after = micros(limits, "max_retry_after_us");
-  s.most_tries = optional_field(limits, "most_tries", 1);
-  s.connect_timeout = micros(limits, "connect_timeout_us");
-  s.memory_heeded = optional_field(facts, "memory_heeded", false);
-  s.priority_heeded = optional_field(facts, "takes_priority", false);
-  s.tells_cost = optional_field(facts, "says_cost", false);
-  s.largest_share = optional_field(facts, "largest_share", 1.0);
-  s.progress = micros(facts, "progress_us");
-  s.over_share_worth = optional_field(p, "over_share_worth", 1.0);
-  const json& costs = optional_field(p, "costs", json::object());
+  s.may_send_retry_after = optional_field(limits, "retry_after", false);
+  s.max_retry_after = read_micros(limits, "max_retry_after_us");
+  s.max_attempts = optional_field(limits, "most_tries", 1);
+  s.connect_timeout = read_micros(limits, "connect_timeout_us");
+  s.honors_memory = optional_field(family, "memory_heeded", false);
+  s.honors_priority = optional_field(family, "takes_priority", false);
+  s.reports_cost = optional_field(family, "says_cost", false);
+  s.max_memory_share = optional_field(family, "largest_share", 1.0);
+  s.progress_interval = read_micros(family, "progress_us");
+  s.over_share_worth = optional_field(params, "over_share_worth", 1.0);
+  const json& costs = optional_field(params, "costs", json::object());
   s.cross_zone_cost = optional_field(costs, "cross_zone", 0.0);
   s.probe_cost = optional_field(costs, "probe", 0.0);
-  const json& rules = p.at("rules");
-  s.answer_slack = micros(rules, "answer_slack_us");
-  s.ask_within = micros(rules, "ask_within_us");
-  s.drain_grace = micros(rules, "drain_grace_us");
-  s.cold_from = optional_field(rules, "cold_from", 1.0);
-  s.cold_for = micros(rules, "cold_us");
+  const json& rules = params.at("rules");
+  s.answer_slack = read_micros(rules, "answer_slack_us");
+  s.ask_within = read_micros(rules, "ask_within_us");
+  s.drain_grace = read_micros(rules, "drain_grace_us");
+  s.slow_start_share = optional_field(rules, "cold_from", 1.0);
+  s.slow_start_time = read_micros(rules, "cold_us");
   s.overload_factor = optional_field(rules, "overload_factor", 1.0);
-  s.fall_after = micros(rules, "fall_us");
-  if (present(rules, "extra_ratio")) s.extra_ratio = rules.at("extra_ratio").get<double>();
-  s.free_resends = optional_field(rules, "free_resends", 0.0);
-  s.look_back = micros(rules, "look_back_us");
-  s.settle_after_doubt = micros(rules, "settle_after_doubt_us");
+  s.overload_window = read_micros(rules, "fall_us");
+  if (has_field(rules, "extra_ratio")) s.retry_budget_ratio = rules.at("extra_ratio").get<double>();
+  s.retry_budget_base = optional_field(rules, "free_resends", 0.0);
+  s.retry_budget_window = read_micros(rules, "look_back_us");
+  s.settle_time = read_micros(rules, "settle_after_doubt_us");
   return s;
 }
 
--- a/src/spool/reader_front.cpp
+++ b/src/spool/reader_front.cpp
@@ -174,7 +174,8 @@
       query.result_most = front_.spool_.settings().logic.result_most;
     }
     const auto cls = static_cast<std::size_t>(query.cls);
-    const bool repeatable = front_.coordinator_.settings().classes[cls].effect == Effect::kRepeatable;
+    const bool repeatable =
+        front_.coordinator_.settings().classes[cls].idempotency == Idempotency::kIdempotent;
     front_.waiting_[query.id] = {number(), call, false, spooled, repeatable};
     calls_[call] = query.id;
     front_.coordinator_.arrived(std::move(query));
@@ -300,7 +301,7 @@
   bool reading_{false};
 };
 
-ReaderFront::ReaderFront(Strand strand, Coordinator& coordinator, EventLog& log, const Tables& tables,
+ReaderFront::ReaderFront(Strand strand, Coordinator& coordinator, EventLog& log, const NameTables& tables,
                          Spool& spool, Limits limits)
     : FramedServer(strand, coordinator, log, limits),
       tables_(tables),
--- a/src/spool/reader_front.h
+++ b/src/spool/reader_front.h
@@ -13,7 +13,7 @@
 
 class ReaderFront : public Front, public FramedServer {
  public:
-  ReaderFront(Strand strand, Coordinator& coordinator, EventLog& log, const Tables& tables, Spool& spool,
+  ReaderFront(Strand strand, Coordinator& coordinator, EventLog& log, const NameTables& tables, Spool& spool,
               Limits limits);
 
   void answer(const Ticket& ticket, Answer answer) override;
@@ -32,7 +32,7 @@
   std::shared_ptr<Session> open(tcp::socket socket, std::uint64_t number) override;
   void tell(const Waiting& to, const Opened& opened);
 
-  const Tables& tables_;
+  const NameTables& tables_;
   Spool& spool_;
   const int number_;  // among the coordinator's fronts
   std::unordered_map<RequestId, Waiting> waiting_;
--- a/standins/route_world.h
+++ b/standins/route_world.h
@@ -21,24 +21,24 @@
   static Settings usual() {
     Settings s;
     s.classes.push_back({.objective = 800ms, .aim_stretch = 2, .hard_limit = 15s});
-    s.classes.push_back({.objective = 2s, .hard_limit = 20s, .effect = Effect::kOnce});
+    s.classes.push_back({.objective = 2s, .hard_limit = 20s, .idempotency = Idempotency::kNone});
     s.kinds.push_back({.cores = 64, .memory_mb = 16384});
     s.may_cancel = true;
-    s.most_tries = 4;
+    s.max_attempts = 4;
     s.answer_slack = 20ms;
     return s;
   }
 
-  explicit RouteWorld(RouteFigures figures, std::vector<bool> pool = {}, int engines = 4,
+  explicit RouteWorld(RouteParameters figures, std::vector<bool> pool = {}, int engines = 4,
                       Settings s = usual())
       : gateway_(7, s), limit_(s.classes[0].hard_limit) {
     feed(Started{});
-    ListNews list{ListMode::kFull, {}};
+    ListUpdate list{ListMode::kFull, {}};
     for (int i = 0; i < engines; ++i) list.entries.push_back({.engine = i});
     feed(list);
-    figures.number = 1;
+    figures.id = 1;
     if (!pool.empty()) figures.pool = 0;
-    feed(RoutesNews{{std::make_shared<const RouteFigures>(figures)}, {pool}});
+    feed(RoutesUpdate{{std::make_shared<const RouteParameters>(figures)}, {pool}});
   }
   // How an attempt ends by itself, and after how long; none: it never does.
   using Fate = std::optional<std::pair<Outcome, Micros>>;
@@ -62,9 +62,9 @@
     Arrival arrival;
     arrival.id = id;
     arrival.cls = cls;
-    arrival.left = limit_;
+    arrival.remaining = limit_;
     arrival.route = 0;
-    arrival.no_place = no_place;
+    arrival.route_full = no_place;
     deadline_[id] = now_ + limit_;
     feed(arrival);
     return id;
@@ -84,22 +84,22 @@
     gateway_.handle(now_, event, actions);
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<Timer>(&action)) {
-        due_.emplace(timer->due, [this, label = timer->label] { feed(Alarm{label}); });
+        due_.emplace(timer->due, [this, label = timer->label] { feed(TimerFired{label}); });
       } else if (const auto* send = std::get_if<Send>(&action)) {
         Told& one = told[send->id];
         const int attempt = static_cast<int>(one.sent.size());
-        one.sent.push_back({send->engine, now_, send->patience});
+        one.sent.push_back({send->engine, now_, send->timeout});
         one.most_out = std::max(one.most_out, ++one.out);
         Micros patience = deadline_[send->id] - now_;
-        if (send->patience.count() > 0) patience = std::min(patience, send->patience);
+        if (send->timeout.count() > 0) patience = std::min(patience, send->timeout);
         const Fate ends = fate(attempt);
         const bool by_itself = ends && ends->second <= patience;
-        end(send->id, attempt, send->engine, by_itself ? ends->first : Outcome::kExpired,
+        end(send->id, attempt, send->engine, by_itself ? ends->first : Outcome::kTimedOut,
             by_itself ? ends->second : patience);
-      } else if (const auto* terms = std::get_if<Terms>(&action)) {
+      } else if (const auto* terms = std::get_if<SetResources>(&action)) {
         told[terms->id].priority = terms->priority, told[terms->id].memory_mb = terms->memory_mb;
       } else if (const auto* cancel = std::get_if<Cancel>(&action)) {
-        end(cancel->id, cancel->attempt, told[cancel->id].sent.back().engine, Outcome::kRevoked, 1ms);
+        end(cancel->id, cancel->attempt, told[cancel->id].sent.back().engine, Outcome::kCancelled, 1ms);
       } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
         ++told[refuse->id].answers;
         told[refuse->id].ended = now_, told[refuse->id].refused = true;
@@ -117,10 +117,10 @@
       if (!closed_.insert({id, attempt}).second) return;
       --one.out;
       if (outcome == Outcome::kDelivered && !one.ended) one.ended = now_, one.served = true, ++one.answers;
-      Closed closed;
+      AttemptClosed closed;
       closed.id = id, closed.attempt = attempt, closed.engine = engine, closed.outcome = outcome,
       closed.delay = after;
-      closed.ended = one.ended.has_value();
+      closed.request_answered = one.ended.has_value();
       feed(closed);
     });
   }
--- a/tests/area_test.cpp
+++ b/tests/area_test.cpp
@@ -16,14 +16,14 @@
   s.classes = {{.objective = 3s,
                 .aim_stretch = 2.5,
                 .hard_limit = 25s,
-                .effect = Effect::kOnce,
-                .load = true,
+                .idempotency = Idempotency::kNone,
+                .is_load = true,
                 .threads = 2},
                {.objective = 800ms, .aim_stretch = 2, .hard_limit = 4s, .yields_to_load = true}};
-  s.gateways = gateways, s.own_number = own;
+  s.gateways = gateways, s.own_index = own;
   s.kinds = {{.cores = 64}};
   s.own_zone = -1, s.zone_count = 1;
-  s.retry_after = true, s.max_retry_after = 5s;
+  s.may_send_retry_after = true, s.max_retry_after = 5s;
   return s;
 }
 
@@ -34,12 +34,12 @@
     list();
   }
   void list(const std::set<int>& without = {}, const std::set<int>& cold = {}) {
-    ListNews news{.mode = ListMode::kFull, .entries = {}};
+    ListUpdate news{.mode = ListMode::kFull, .entries = {}};
     for (std::size_t i = 0; i < names_.size(); ++i) {
       if (without.contains(names_[i])) continue;
       EngineEntry entry{.engine = static_cast<int>(i)};
-      entry.name = 0x5bd1e995u * static_cast<std::uint64_t>(names_[i] + 1);
-      if (cold.contains(names_[i])) entry.came_up = script.now;
+      entry.name_hash = 0x5bd1e995u * static_cast<std::uint64_t>(names_[i] + 1);
+      if (cold.contains(names_[i])) entry.started_at = script.now;
       news.entries.push_back(entry);
     }
     script.feed(news);
@@ -47,9 +47,9 @@
   // The name of the engine to which the query goes, where it is answered in its time; -1 where it is refused.
   int ask(int cls, int group, double work) {
     const RequestId id = next_++;
-    script.feed(Arrival{.id = id, .cls = cls, .left = 20s, .estimate_ms = work, .group = group});
+    script.feed(Arrival{.id = id, .cls = cls, .remaining = 20s, .estimate_ms = work, .table_group = group});
     if (script.count<Refuse>() == 1) return -1;
-    const int engine = script.at.at(id);
+    const int engine = script.engine_of.at(id);
     script.close(id, Outcome::kDelivered,
                  Micros{static_cast<std::int64_t>(work * 1000 / (cls == kLoad ? 2 : 1))}, work);
     return names_[static_cast<std::size_t>(engine)];
@@ -59,12 +59,12 @@
     std::set<int> used;
     for (int n = 0; n < 10 * seconds; ++n) {
       used.insert(ask(kLoad, group, holds * 200));
-      script.wait(100ms);
+      script.advance(100ms);
     }
     used.erase(-1);
     return used;
   }
-  Script script;
+  GatewayFixture script;
 
  private:
   std::vector<int> names_;
@@ -116,7 +116,7 @@
   for (int n = 0; n < 400; ++n) {
     met += kept.contains(site.ask(kLookup, 5, 20));
     others += kept.contains(site.ask(kLookup, 6, 20));
-    site.script.wait(10ms);
+    site.script.advance(10ms);
   }
   EXPECT_LT(met, others / 2);
   EXPECT_GE(others, 40);
@@ -135,8 +135,8 @@
       (sent ? let_in : refused) += w;
       ++(sent ? in : out);
       if (sent) held += w / 2;
-      EXPECT_TRUE(sent || site.script.first<Refuse>()->wait > 0us);
-      site.script.wait(20ms);
+      EXPECT_TRUE(sent || site.script.first<Refuse>()->retry_after > 0us);
+      site.script.advance(20ms);
     }
     // Four engines for a minute and what was saved up at first, between the gateways.
     EXPECT_LE(held, (60'000 + 4000) * 4 * 0.9 / gateways + 10'000);
@@ -149,9 +149,9 @@
 
 TEST(Area, ALoadOfAnySizeIsTakenWhereNoneOtherIs) {
   Site site(warehouse(3), {0, 1, 2, 3, 4});
-  site.script.wait(1s);
+  site.script.advance(1s);
   EXPECT_GE(site.ask(kLoad, 2, 40'000), 0);
-  site.script.wait(60s);
+  site.script.advance(60s);
   EXPECT_GE(site.ask(kLoad, 2, 40'000), 0);
 }
 
@@ -169,7 +169,7 @@
     // Back, and cold: no group's loads until it is warm, all of them after that.
     site.list({}, {3});
     EXPECT_EQ(site.loads(group, 0.1, 6), std::set<int>{then}) << group;
-    site.script.wait(16s);
+    site.script.advance(16s);
     EXPECT_EQ(site.loads(group, 0.1, 6), std::set<int>{first}) << group;
   }
   EXPECT_GE(moved, 1);
--- a/tests/consumer.cmake
+++ b/tests/consumer.cmake
@@ -1,4 +1,4 @@
-# Installs the package, then builds and runs the README's example against it.
+# Installs the package into a scratch prefix, then builds and runs examples/ against the installed package.
 file(REMOVE_RECURSE ${WORK})
 function(run)
   execute_process(COMMAND ${ARGV} RESULT_VARIABLE code)
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -12,12 +12,12 @@
 Settings fleet() {
   Settings settings = basic_settings();
   settings.gateways = 300;
-  settings.reports = Reports::kPiggyback;
-  settings.progress = 500ms;
+  settings.report_mode = ReportMode::kPiggyback;
+  settings.progress_interval = 500ms;
   return settings;
 }
 
-void answer(Script& script, RequestId id, const LoadReport& report, Micros delay = 100ms) {
+void answer(GatewayFixture& script, RequestId id, const LoadReport& report, Micros delay = 100ms) {
   script.answer(id, delay, report);
 }
 
@@ -25,13 +25,13 @@
 // worse: what an engine says it holds has to close the door, whatever its cores do.
 TEST(Fleet, IdleCoresOfAnEngineFullOfWaitingQueriesAreNoRoom) {
   for (const auto& [in_flight, admitted] : std::vector<std::pair<double, int>>{{60, 0}, {1, 1}}) {
-    Script script(fleet(), 20);
+    GatewayFixture script(fleet(), 20);
     RequestId id = 0;
     for (; id < 30; ++id) {
       script.arrive(id);
       if (script.count<Send>() == 0) continue;
-      script.wait(100ms);
-      answer(script, id, {.utilisation = 0.2, .in_flight = in_flight});
+      script.advance(100ms);
+      answer(script, id, {.cpu_utilisation = 0.2, .in_flight = in_flight});
     }
     script.arrive(++id, 1000);
     EXPECT_EQ(script.count<Send>(), admitted) << in_flight << " in hand";
@@ -42,15 +42,16 @@
 // A query that is slow because all engines are gains nothing from beginning anew, and what it has had done is
 // lost. Each gateway moved what it had four times over, and the fleet did four times the work for no answer.
 TEST(Fleet, SlowQueriesAreMovedOnlyAsOftenAsAnswersAllow) {
-  Script script(fleet(), 20);
+  GatewayFixture script(fleet(), 20);
   constexpr int kSlow = 12;
   for (RequestId id = 0; id < kSlow; ++id) script.arrive(id, 100, 0, 20s);
   const auto crawl = [&](RequestId id) {
-    for (int attempt = 0; attempt < script.attempts[id]; ++attempt)
-      script.feed(Note{.id = id, .attempt = attempt, .engine = script.at[id], .amount = 0.01});
+    for (int attempt = 0; attempt < script.attempt_count[id]; ++attempt)
+      script.feed(
+          ProgressReport{.id = id, .attempt = attempt, .engine = script.engine_of[id], .value = 0.01});
   };
   int moved = 0;
-  script.wait(500ms);
+  script.advance(500ms);
   for (RequestId id = 0; id < kSlow; ++id) {
     crawl(id);
     moved += script.count<Cancel>();
@@ -59,8 +60,8 @@
   // Answers earn further ones, far fewer than they are themselves.
   for (RequestId id = 100; id < 110; ++id) {
     script.arrive(id);
-    script.wait(1ms);
-    answer(script, id, {.utilisation = 0.2, .in_flight = 1.0}, 1ms);
+    script.advance(1ms);
+    answer(script, id, {.cpu_utilisation = 0.2, .in_flight = 1.0}, 1ms);
   }
   moved = 0;
   for (RequestId id = 0; id < kSlow; ++id) {
@@ -71,12 +72,12 @@
 }
 
 // Serves queries on a calm fleet, so that its gateway believes in engines with so much in hand.
-RequestId hear(Script& script, RequestId id, int answers, double in_flight) {
+RequestId hear(GatewayFixture& script, RequestId id, int answers, double in_flight) {
   for (int i = 0; i < answers; ++i, ++id) {
     script.arrive(id);
     if (script.count<Send>() == 0) continue;
-    script.wait(20ms);
-    answer(script, id, {.utilisation = 0.6, .in_flight = in_flight}, 20ms);
+    script.advance(20ms);
+    answer(script, id, {.cpu_utilisation = 0.6, .in_flight = in_flight}, 20ms);
   }
   return id;
 }
@@ -88,8 +89,8 @@
   for (const double in_flight : {4.0, 12.0, 14.0, 16.0, 40.0}) {
     for (int own = 0; own < 300; ++own) {
       Settings settings = fleet();
-      settings.own_number = own;
-      Script script(settings, 40, static_cast<std::uint64_t>(own) + 1);
+      settings.own_index = own;
+      GatewayFixture script(settings, 40, static_cast<std::uint64_t>(own) + 1);
       const RequestId id = hear(script, 0, 30, in_flight);
       script.arrive(id);
       admitted[in_flight] += script.count<Send>();
@@ -108,13 +109,13 @@
 TEST(Fleet, WhatWasHeardLongAgoDoesNotOutweighNews) {
   int admitted = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    Script script(fleet(), 40, seed);
+    GatewayFixture script(fleet(), 40, seed);
     RequestId id = hear(script, 0, 400, 1);
-    script.wait(5s);
+    script.advance(5s);
     std::vector<RequestId> out;
     for (int i = 0; i < 6; ++i) script.arrive(++id), out.push_back(id);
-    script.wait(50ms);
-    for (const RequestId one : out) answer(script, one, {.utilisation = 0.2, .in_flight = 60.0}, 50ms);
+    script.advance(50ms);
+    for (const RequestId one : out) answer(script, one, {.cpu_utilisation = 0.2, .in_flight = 60.0}, 50ms);
     script.arrive(++id);
     admitted += script.count<Send>();
   }
@@ -124,24 +125,27 @@
 // An attempt that cannot end in time is given up and answered at once: its engine is freed for those that
 // can. A fleet that works on for clients who are gone never gets out of an overload.
 TEST(Fleet, AnAttemptThatCannotEndInTimeIsGivenUpAndAnsweredAtOnce) {
-  for (const Effect effect : {Effect::kRepeatable, Effect::kOnce}) {
+  for (const Idempotency effect : {Idempotency::kIdempotent, Idempotency::kNone}) {
     Settings settings = fleet();
-    settings.classes[0].effect = effect;
-    settings.most_tries = 1;
-    Script script(settings, 20);
+    settings.classes[0].idempotency = effect;
+    settings.max_attempts = 1;
+    GatewayFixture script(settings, 20);
     script.arrive(1, 100, 0, 4s);
     ASSERT_EQ(script.count<Send>(), 1);
     // The whole time that the client has: silence and pace tell of what is lost, not a part of that time.
-    EXPECT_EQ(script.first<Send>()->patience, 0s);
-    script.wait(1s);
-    script.feed(Note{.id = 1, .attempt = 0, .engine = script.at[1], .amount = 0.2});
+    EXPECT_EQ(script.first<Send>()->timeout, 0s);
+    script.advance(1s);
+    script.feed(ProgressReport{.id = 1, .attempt = 0, .engine = script.engine_of[1], .value = 0.2});
     EXPECT_TRUE(script.actions.empty());
-    script.feed(Note{.id = 1, .attempt = 0, .engine = script.at[1], .amount = 0.01});
+    script.feed(ProgressReport{.id = 1, .attempt = 0, .engine = script.engine_of[1], .value = 0.01});
     EXPECT_EQ(script.count<Cancel>(), 1);
-    EXPECT_EQ(script.count<Refuse>(), effect == Effect::kRepeatable ? 1 : 0);
-    EXPECT_EQ(script.count<Fail>(), effect == Effect::kOnce ? 1 : 0);
-    script.feed(
-        Closed{.id = 1, .attempt = 0, .engine = script.at[1], .outcome = Outcome::kRevoked, .ended = true});
+    EXPECT_EQ(script.count<Refuse>(), effect == Idempotency::kIdempotent ? 1 : 0);
+    EXPECT_EQ(script.count<Fail>(), effect == Idempotency::kNone ? 1 : 0);
+    script.feed(AttemptClosed{.id = 1,
+                              .attempt = 0,
+                              .engine = script.engine_of[1],
+                              .outcome = Outcome::kCancelled,
+                              .request_answered = true});
     EXPECT_TRUE(script.actions.empty());
   }
 }
@@ -156,12 +160,13 @@
   for (const bool restarted : {false, true}) {
     Settings settings = fleet();
     settings.overload_factor = 4;
-    settings.fall_after = 1500ms;
-    std::vector<std::unique_ptr<Script>> scripts;
+    settings.overload_window = 1500ms;
+    std::vector<std::unique_ptr<GatewayFixture>> scripts;
     std::vector<double> shares;
     for (int own = 0; own < kGateways; ++own) {
-      settings.own_number = own;
-      scripts.push_back(std::make_unique<Script>(settings, kEngines, static_cast<std::uint64_t>(own) + 1));
+      settings.own_index = own;
+      scripts.push_back(
+          std::make_unique<GatewayFixture>(settings, kEngines, static_cast<std::uint64_t>(own) + 1));
       shares.push_back(own % 10 == 0 ? 5 : own % 3 == 0 ? 1 : 0.5);
     }
     std::mt19937_64 random(7);
@@ -181,38 +186,40 @@
         for (int own = 0; own < kGateways; ++own) {
           auto& script = scripts[static_cast<std::size_t>(own)];
           if (restarted && own % 10 < 7) {
-            settings.own_number = own;
-            script = std::make_unique<Script>(settings, kEngines, static_cast<std::uint64_t>(own) + 1000);
+            settings.own_index = own;
+            script =
+                std::make_unique<GatewayFixture>(settings, kEngines, static_cast<std::uint64_t>(own) + 1000);
             script->now = now;
             std::erase_if(out, [own](const Out& o) { return o.gateway == own; });
           }
           script->feed(
-              ListNews{.mode = ListMode::kIncremental, .entries = {{.engine = kCold, .came_up = now}}});
+              ListUpdate{.mode = ListMode::kIncremental, .entries = {{.engine = kCold, .started_at = now}}});
         }
       }
-      for (auto& script : scripts) script->wait(now - script->now);
+      for (auto& script : scripts) script->advance(now - script->now);
       while (!out.empty() && out.front().until <= now) {
-        Script& script = *scripts[static_cast<std::size_t>(out.front().gateway)];
-        const bool cold = script.at[out.front().id] == kCold;
-        answer(script, out.front().id, {.utilisation = cold ? 0.2 : 0.6, .in_flight = cold ? 1.0 : 5.0});
+        GatewayFixture& script = *scripts[static_cast<std::size_t>(out.front().gateway)];
+        const bool cold = script.engine_of[out.front().id] == kCold;
+        answer(script, out.front().id, {.cpu_utilisation = cold ? 0.2 : 0.6, .in_flight = cold ? 1.0 : 5.0});
         out.pop_front();
       }
       for (int i = 0; i < 20; ++i) {
         const int gateway = whose(random);
-        Script& script = *scripts[static_cast<std::size_t>(gateway)];
+        GatewayFixture& script = *scripts[static_cast<std::size_t>(gateway)];
         script.arrive(++next, kWork);
         ++taken;
         if (script.count<Send>() == 0) continue;
         ++admitted;
         out.push_back({now + 100ms, gateway, next});
-        if (script.at[next] == kCold && now >= came_up) sent.push_back(now);
+        if (script.engine_of[next] == kCold && now >= came_up) sent.push_back(now);
       }
     }
     // What it can do at its coldest, for the length of a window.
-    const double budget = settings.overload_factor * settings.kinds[0].cores * settings.cold_from * 1500;
+    const double budget =
+        settings.overload_factor * settings.kinds[0].cores * settings.slow_start_share * 1500;
     std::size_t from = 0;
     for (std::size_t to = 0; to < sent.size(); ++to) {
-      while (sent[to] - sent[from] > settings.fall_after) ++from;
+      while (sent[to] - sent[from] > settings.overload_window) ++from;
       EXPECT_LT(kWork * static_cast<double>(to - from + 1), budget) << restarted;
     }
     EXPECT_GT(sent.size(), 30u) << restarted;
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,4 +1,5 @@
-// Scripted events in, actions out.
+// Test fixture for the decision module: feeds events to one Gateway under a simulated clock, and keeps its
+// actions.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,51 +16,55 @@
 inline Settings basic_settings() {
   Settings s;
   s.classes.push_back({.objective = 800ms, .aim_stretch = 2, .hard_limit = 4s});
-  s.classes.push_back({.objective = 2s, .hard_limit = 20s, .effect = Effect::kOnce, .keep_order = true});
+  s.classes.push_back(
+      {.objective = 2s, .hard_limit = 20s, .idempotency = Idempotency::kNone, .keep_order = true});
   s.classes.push_back({.objective = 2s,
                        .hard_limit = 20s,
-                       .effect = Effect::kByKey,
-                       .dedup_scope = Scope::kZone,
+                       .idempotency = Idempotency::kByKey,
+                       .dedup_scope = DedupScope::kZone,
                        .dedup_window = 5s});
   s.kinds.push_back({.cores = 8, .memory_mb = 16384});
   s.zone_count = 2;
   s.own_zone = 0;
   s.may_cancel = true;
-  s.most_tries = 4;
-  s.tells_cost = true;
+  s.max_attempts = 4;
+  s.reports_cost = true;
   s.answer_slack = 20ms;
   s.drain_grace = 250ms;
-  s.cold_from = 0.3;
-  s.cold_for = 15s;
+  s.slow_start_share = 0.3;
+  s.slow_start_time = 15s;
   s.overload_factor = 2;
-  s.fall_after = 2s;
-  s.settle_after_doubt = 500ms;
+  s.overload_window = 2s;
+  s.settle_time = 500ms;
   return s;
 }
 
-class Script {
+// Starts with `engines` ready engines of kind 0 in zone 0, and with the clock at 1 s.
+class GatewayFixture {
  public:
-  explicit Script(const Settings& settings, int engines = 1, std::uint64_t seed = 1)
+  explicit GatewayFixture(const Settings& settings, int engines = 1, std::uint64_t seed = 1)
       : gateway(seed, settings) {
     feed(Started{});
-    ListNews news{.mode = ListMode::kSaved, .entries = {}};
-    for (int i = 0; i < engines; ++i) news.entries.push_back({.engine = i});
-    feed(news);
+    ListUpdate update{.mode = ListMode::kSaved, .entries = {}};
+    for (int i = 0; i < engines; ++i) update.entries.push_back({.engine = i});
+    feed(update);
   }
 
+  // Returns the actions of this event alone.
   const std::vector<Action>& feed(const Event& event) {
     actions.clear();
     gateway.handle(now, event, actions);
-    all.insert(all.end(), actions.begin(), actions.end());
+    all_actions.insert(all_actions.end(), actions.begin(), actions.end());
     for (const Action& action : actions) {
       if (const auto* timer = std::get_if<Timer>(&action)) timers.push_back(*timer);
-      if (const auto* send = std::get_if<Send>(&action)) ++attempts[send->id], at[send->id] = send->engine;
+      if (const auto* send = std::get_if<Send>(&action))
+        ++attempt_count[send->id], engine_of[send->id] = send->engine;
     }
     return actions;
   }
 
-  // Runs the clock, firing the timers that fall due.
-  void wait(Micros span) {
+  // Advances the clock and fires the timers that fall due.
+  void advance(Micros span) {
     const Micros until = now + span;
     while (true) {
       std::size_t first = timers.size();
@@ -71,76 +76,80 @@
       const Timer timer = timers[first];
       timers.erase(timers.begin() + static_cast<std::ptrdiff_t>(first));
       now = std::max(now, timer.due);
-      feed(Alarm{timer.label});
+      feed(TimerFired{timer.label});
     }
     now = until;
   }
 
-  const std::vector<Action>& arrive(RequestId id, double estimate = 100, int cls = 0, Micros left = 4s) {
-    return feed(Arrival{.id = id, .cls = cls, .left = left, .estimate_ms = estimate});
+  const std::vector<Action>& arrive(RequestId id, double estimate = 100, int cls = 0, Micros remaining = 4s) {
+    return feed(Arrival{.id = id, .cls = cls, .remaining = remaining, .estimate_ms = estimate});
   }
-  const std::vector<Action>& arrive_keyed(RequestId id, std::uint64_t key, Micros left = 20s) {
-    return feed(Arrival{.id = id, .cls = 1, .key = key, .left = left, .estimate_ms = 100});
+  // A request of class 1, whose requests with equal keys run in the order of arrival.
+  const std::vector<Action>& arrive_ordered(RequestId id, std::uint64_t key, Micros remaining = 20s) {
+    return feed(Arrival{.id = id, .cls = 1, .key = key, .remaining = remaining, .estimate_ms = 100});
   }
 
-  // Closes the request's latest attempt.
+  // Closes the request's latest attempt. Only a delivered one answers the request.
   const std::vector<Action>& close(RequestId id, Outcome outcome, Micros delay = 100ms, double work = 100) {
-    const bool done = outcome == Outcome::kDelivered;
-    return feed(Closed{.id = id,
-                       .attempt = attempts[id] - 1,
-                       .engine = at[id],
-                       .outcome = outcome,
-                       .delay = delay,
-                       .ended = done,
-                       .true_work_ms = done ? work : 0,
-                       .report = {}});
+    const bool delivered = outcome == Outcome::kDelivered;
+    return feed(AttemptClosed{.id = id,
+                              .attempt = attempt_count[id] - 1,
+                              .engine = engine_of[id],
+                              .outcome = outcome,
+                              .delay = delay,
+                              .request_answered = delivered,
+                              .actual_work_ms = delivered ? work : 0,
+                              .report = {}});
   }
 
-  // Answers the request's latest attempt, with the engine's report.
+  // Closes the request's latest attempt as delivered, with the engine's load report.
   void answer(RequestId id, Micros delay, const LoadReport& report) {
-    feed(Closed{.id = id,
-                .attempt = attempts[id] - 1,
-                .engine = at[id],
-                .outcome = Outcome::kDelivered,
-                .delay = delay,
-                .ended = true,
-                .true_work_ms = 100,
-                .report = report});
+    feed(AttemptClosed{.id = id,
+                       .attempt = attempt_count[id] - 1,
+                       .engine = engine_of[id],
+                       .outcome = Outcome::kDelivered,
+                       .delay = delay,
+                       .request_answered = true,
+                       .actual_work_ms = 100,
+                       .report = report});
   }
 
-  // One query admitted, answered after `delay`.
+  // A request that is answered after `delay`.
   void serve(RequestId id, Micros delay, double work = 100) {
     arrive(id, work);
-    wait(delay);
+    advance(delay);
     close(id, Outcome::kDelivered, delay, work);
   }
 
+  // Actions of type A of the last event.
   template <typename A>
   int count() const {
-    int n = 0;
-    for (const Action& action : actions) n += std::holds_alternative<A>(action);
-    return n;
+    int matches = 0;
+    for (const Action& action : actions) matches += std::holds_alternative<A>(action);
+    return matches;
   }
+  // Actions of type A of all events.
   template <typename A>
   int count_all() const {
-    int n = 0;
-    for (const Action& action : all) n += std::holds_alternative<A>(action);
-    return n;
+    int matches = 0;
+    for (const Action& action : all_actions) matches += std::holds_alternative<A>(action);
+    return matches;
   }
+  // First action of type A of the last event; null: none.
   template <typename A>
   const A* first() const {
     for (const Action& action : actions) {
-      if (const A* found = std::get_if<A>(&action)) return found;
+      if (const A* match = std::get_if<A>(&action)) return match;
     }
     return nullptr;
   }
 
-  int served{};
+  int served{};  // for the tests to count in
   Gateway gateway;
   Micros now{1s};
-  std::vector<Action> actions, all;
+  std::vector<Action> actions, all_actions;  // of the last event; of all events
   std::vector<Timer> timers;
-  std::map<RequestId, int> attempts, at;
+  std::map<RequestId, int> attempt_count, engine_of;  // by request; of its latest attempt
 };
 
 }  // namespace steprail::testing
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -649,7 +649,7 @@
   CHECK(used == whole.size());
   CHECK(answer.body == "a\r\n");
   CHECK(answer.count == 2);
-  CHECK(answer.report.utilisation == 0.61);
+  CHECK(answer.report.cpu_utilisation == 0.61);
   CHECK(answer.report.in_flight == 7.0);
   CHECK(parse_answer(kId + " ACK - x\r\n", answer, used) == Parsed::kBad);
   CHECK(parse_answer(kId + " ACK - 1\r\nab\r\n", answer, used) == Parsed::kBad);
@@ -657,10 +657,10 @@
 
 // Guards against tables that grow with every engine that ever was.
 TEST_CASE("the number of a forgotten engine goes to the next new one") {
-  Names names;
+  NameTable names;
   names.add("a");
   names.add("b");
-  names.forget(0);
+  names.remove(0);
   CHECK(names.index("a") == -1);
   CHECK(names.add("b") == 1);
   CHECK(names.add("c") == 0);
--- a/tests/routes/check_test.cpp
+++ b/tests/routes/check_test.cpp
@@ -16,7 +16,7 @@
 
 struct Platform {
   Settings settings;
-  Tables tables;
+  NameTables tables;
   Platform() {
     tables.classes.add("lookup"), tables.classes.add("report"), tables.classes.add("load");
     tables.tenants.add("acme"), tables.tenants.add("umbra");
@@ -24,15 +24,16 @@
     tables.kinds.add("box"), tables.kinds.add("rack");
     settings.classes.push_back({.objective = 300ms, .hard_limit = 4s});
     settings.classes.push_back({.objective = 2s, .hard_limit = 15s});
-    settings.classes.push_back({.objective = 2s, .hard_limit = 20s, .effect = Effect::kOnce, .zones = {0}});
+    settings.classes.push_back(
+        {.objective = 2s, .hard_limit = 20s, .idempotency = Idempotency::kNone, .zones = {0}});
     settings.tenants.resize(2);
     settings.kinds.resize(2);
     settings.zone_count = 2;
-    settings.most_tries = 4;
-    settings.cold_from = 0.3;
-    settings.cold_for = 15s;
+    settings.max_attempts = 4;
+    settings.slow_start_share = 0.3;
+    settings.slow_start_time = 15s;
     settings.overload_factor = 1;
-    settings.extra_ratio = 0.2;
+    settings.retry_budget_ratio = 0.2;
   }
 };
 
@@ -178,9 +179,9 @@
     if (copy > 0) text += "  copy-after " + std::to_string(copy) + "ms\n";
     const auto found = findings(text + "}\n");
     const ClassSettings& c = platform.settings.classes[static_cast<std::size_t>(cls)];
-    const int tries = std::min(attempts, platform.settings.most_tries);
+    const int tries = std::min(attempts, platform.settings.max_attempts);
     // The longest history by hand.
-    const bool once = c.effect == Effect::kOnce;
+    const bool once = c.idempotency == Idempotency::kNone;
     const double longest =
         patience * (once ? 1 : tries) + pause * (1 + jitter / 100.0) * ((once ? 1 : tries) - 1);
     const bool beyond = longest * 1000 > static_cast<double>(c.hard_limit.count());
@@ -215,20 +216,20 @@
     // The module itself, on engines that never answer.
     Settings s = platform.settings;
     s.may_cancel = true;
-    s.extra_ratio.reset();
+    s.retry_budget_ratio.reset();
     Gateway gateway(3, s);
     std::vector<Action> actions;
     Micros now{0};
     gateway.handle(now, Started{}, actions);
-    ListNews list{ListMode::kFull, {}};
+    ListUpdate list{ListMode::kFull, {}};
     for (int i = 0; i < 4; ++i) list.entries.push_back({.engine = i});
     gateway.handle(now, list, actions);
-    auto figures = std::make_shared<RouteFigures>();
-    figures->number = 1, figures->most_tries = attempts, figures->patience = {Micros{patience * 1000}};
-    figures->pause = Micros{pause * 1000}, figures->jitter = jitter / 100.0;
-    gateway.handle(now, RoutesNews{{figures}, {}}, actions);
+    auto figures = std::make_shared<RouteParameters>();
+    figures->id = 1, figures->max_attempts = attempts, figures->attempt_timeouts = {Micros{patience * 1000}};
+    figures->retry_delay = Micros{pause * 1000}, figures->retry_jitter = jitter / 100.0;
+    gateway.handle(now, RoutesUpdate{{figures}, {}}, actions);
     Arrival arrival;
-    arrival.id = 1, arrival.cls = cls, arrival.left = c.hard_limit, arrival.route = 0;
+    arrival.id = 1, arrival.cls = cls, arrival.remaining = c.hard_limit, arrival.route = 0;
     std::multimap<Micros, Event> due;
     due.emplace(now, arrival);
     int sent = 0;
@@ -240,13 +241,14 @@
       actions.clear();
       gateway.handle(now, event, actions);
       for (const Action& action : actions) {
-        if (const auto* timer = std::get_if<Timer>(&action)) due.emplace(timer->due, Alarm{timer->label});
+        if (const auto* timer = std::get_if<Timer>(&action))
+          due.emplace(timer->due, TimerFired{timer->label});
         if (const auto* send = std::get_if<Send>(&action)) {
-          RC_ASSERT(send->patience == Micros{patience * 1000});
-          Closed closed;
+          RC_ASSERT(send->timeout == Micros{patience * 1000});
+          AttemptClosed closed;
           closed.id = 1, closed.attempt = sent++, closed.engine = send->engine;
-          closed.outcome = Outcome::kExpired, closed.delay = send->patience;
-          due.emplace(now + send->patience, closed);
+          closed.outcome = Outcome::kTimedOut, closed.delay = send->timeout;
+          due.emplace(now + send->timeout, closed);
         }
         if (std::holds_alternative<Refuse>(action) || std::holds_alternative<Fail>(action)) ended = now;
       }
--- a/tests/routes/logic_test.cpp
+++ b/tests/routes/logic_test.cpp
@@ -247,10 +247,10 @@
 TEST_CASE(
     "routes: on hanging engines patience acts at its time, attempts stop at their number, the answer is in "
     "time") {
-  RouteFigures figures;
-  figures.patience = {1s, 2s};
-  figures.pause = 500ms;
-  figures.most_tries = 3;
+  RouteParameters figures;
+  figures.attempt_timeouts = {1s, 2s};
+  figures.retry_delay = 500ms;
+  figures.max_attempts = 3;
   World world(figures);
   const RequestId id = world.arrive();
   world.run(20s);
@@ -271,15 +271,16 @@
 TEST_CASE(
     "routes: whatever is set, one attempt is out at a time, a load runs once, and one answer comes in time") {
   rc::prop("random figures, adversarial engines", [] {
-    RouteFigures figures;
+    RouteParameters figures;
     for (int i = *rc::gen::inRange(0, 3); i > 0; --i)
-      figures.patience.push_back(Micros{*rc::gen::inRange(10'000, 20'000'000)});
-    figures.pause = Micros{*rc::gen::inRange(0, 4'000'000)};
-    figures.jitter = *rc::gen::inRange(0, 101) / 100.0;
-    figures.most_tries = *rc::gen::inRange(0, 9);
+      figures.attempt_timeouts.push_back(Micros{*rc::gen::inRange(10'000, 20'000'000)});
+    figures.retry_delay = Micros{*rc::gen::inRange(0, 4'000'000)};
+    figures.retry_jitter = *rc::gen::inRange(0, 101) / 100.0;
+    figures.max_attempts = *rc::gen::inRange(0, 9);
     figures.move_after = Micros{*rc::gen::inRange(0, 2) * *rc::gen::inRange(100'000, 3'000'000)};
     if (*rc::gen::arbitrary<bool>())
-      figures.ration = *rc::gen::inRange(0, 50) / 100.0, figures.ration_burst = *rc::gen::inRange(0, 5);
+      figures.retry_budget_ratio = *rc::gen::inRange(0, 50) / 100.0,
+      figures.retry_budget_burst = *rc::gen::inRange(0, 5);
     World world(figures,
                 *rc::gen::arbitrary<bool>() ? std::vector<bool>{true, false, true} : std::vector<bool>{});
     const auto fates = *rc::gen::container<std::vector<int>>(8, rc::gen::inRange(0, 4));
@@ -287,8 +288,8 @@
     world.fate = [&](int) -> World::Fate {
       const int fate = fates[next++ % fates.size()];
       if (fate == 0) return std::nullopt;
-      return std::pair{fate == 1   ? Outcome::kDropped
-                       : fate == 2 ? Outcome::kShed
+      return std::pair{fate == 1   ? Outcome::kConnectionLost
+                       : fate == 2 ? Outcome::kRejected
                                    : Outcome::kDelivered,
                        Micros{300'000}};
     };
@@ -302,7 +303,7 @@
       RC_ASSERT(told.answers == 1);
       RC_ASSERT(told.most_out <= 1);
       RC_ASSERT(static_cast<int>(told.sent.size()) <=
-                (figures.most_tries > 0 ? std::min(figures.most_tries, 4) : 4));
+                (figures.max_attempts > 0 ? std::min(figures.max_attempts, 4) : 4));
     }
   });
 }
@@ -323,13 +324,13 @@
   }
   CHECK(seen == std::set<int>{1, 3});
   // The pool loses all its engines: refused at once, and served again when they are back.
-  RouteFigures figures;
-  figures.number = 1, figures.pool = 0;
-  const auto route = std::make_shared<const RouteFigures>(figures);
-  world.feed(RoutesNews{{route}, {{}}});
+  RouteParameters figures;
+  figures.id = 1, figures.pool = 0;
+  const auto route = std::make_shared<const RouteParameters>(figures);
+  world.feed(RoutesUpdate{{route}, {{}}});
   const RequestId lost = world.arrive();
   CHECK(world.told[lost].refused);
-  world.feed(RoutesNews{{route}, {{true}}});
+  world.feed(RoutesUpdate{{route}, {{true}}});
   const RequestId back = world.arrive();
   world.run(world.now() + 1s);
   CHECK(world.told[back].served);
@@ -338,12 +339,12 @@
 TEST_CASE(
     "routes: memory and priority are the route's where engines heed them, within what an engine gives one "
     "query") {
-  RouteFigures figures;
+  RouteParameters figures;
   figures.memory_mb = 9000, figures.priority = 3;
   for (const bool heeded : {true, false}) {
     Settings s = World::usual();
-    s.memory_heeded = s.priority_heeded = heeded;
-    s.largest_share = 0.25;  // of 16,384 MB
+    s.honors_memory = s.honors_priority = heeded;
+    s.max_memory_share = 0.25;  // of 16,384 MB
     World world(figures, {}, 2, s);
     const RequestId id = world.arrive();
     CHECK(world.told[id].memory_mb == (heeded ? 4096 : 0));
@@ -352,18 +353,18 @@
 }
 
 TEST_CASE("routes: open requests keep their figures over a reload, also where their route goes") {
-  RouteFigures figures;
-  figures.patience = {1s};
-  figures.pause = 1s;
-  figures.most_tries = 3;
-  figures.ration = 1;
-  figures.ration_burst = 9;
+  RouteParameters figures;
+  figures.attempt_timeouts = {1s};
+  figures.retry_delay = 1s;
+  figures.max_attempts = 3;
+  figures.retry_budget_ratio = 1;
+  figures.retry_budget_burst = 9;
   World world(figures);
   const RequestId id = world.arrive();
   world.run(500ms);
-  world.feed(RoutesNews{});
+  world.feed(RoutesUpdate{});
   world.run(700ms);
-  world.feed(RoutesNews{});
+  world.feed(RoutesUpdate{});
   world.run(20s);
   CHECK(world.told[id].sent.size() == 3);
   CHECK(world.told[id].ended.has_value());
@@ -373,9 +374,9 @@
 // came in.
 TEST_CASE("routes: a retry storm stays within the ration, and service comes back when the fault ends") {
   const auto storm = [](std::optional<double> ration) {
-    RouteFigures figures;
-    figures.ration = ration;
-    figures.ration_burst = 5;
+    RouteParameters figures;
+    figures.retry_budget_ratio = ration;
+    figures.retry_budget_burst = 5;
     Settings s = World::usual();
     s.classes[0].hard_limit = 4s;
     World world(figures, {}, 4, s);
@@ -383,7 +384,7 @@
     bool fault = true;
     world.fate = [&](int) {
       const bool good = !fault || ++answers % 10 == 0;
-      return World::Fate{{good ? Outcome::kDelivered : Outcome::kDropped, 40ms}};
+      return World::Fate{{good ? Outcome::kDelivered : Outcome::kConnectionLost, 40ms}};
     };
     std::size_t first = 0;
     for (int i = 0; i < 1000; ++i, ++first) {
--- a/tests/routes/plan_test.cpp
+++ b/tests/routes/plan_test.cpp
@@ -17,18 +17,19 @@
 
 struct Platform {
   Settings settings;
-  Tables tables;
+  NameTables tables;
   Platform() {
     tables.classes.add("lookup"), tables.classes.add("report"), tables.classes.add("load");
     tables.tenants.add("acme");
     tables.zones.add("here"), tables.kinds.add("box");
     settings.classes.push_back({.objective = 300ms, .hard_limit = 4s, .worth = 1});
     settings.classes.push_back({.objective = 2s, .hard_limit = 15s, .worth = 4, .late_share = 0.3});
-    settings.classes.push_back({.objective = 5s, .hard_limit = 20s, .worth = 8, .effect = Effect::kOnce});
+    settings.classes.push_back(
+        {.objective = 5s, .hard_limit = 20s, .worth = 8, .idempotency = Idempotency::kNone});
     settings.tenants.resize(1);
     settings.kinds.resize(1);
-    settings.most_tries = 3;
-    settings.extra_ratio = 0.1;
+    settings.max_attempts = 3;
+    settings.retry_budget_ratio = 0.1;
   }
 };
 
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,4 +1,5 @@
-// The adapter alone: lines in, lines out.
+// The adapter for the simulator, run as a program: JSON lines on standard input, JSON lines on standard
+// output.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -12,30 +13,30 @@
 
 using nlohmann::json;
 
-struct Played {
-  int code{};
+struct Output {
+  int code{};  // exit code
   std::vector<json> lines;
-  std::string fault;
+  std::string stderr_text;
 };
 
-std::string slurp(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream file(path);
   std::stringstream text;
   text << file.rdbuf();
   return text.str();
 }
 
-Played play(const std::string& input) {
+Output run_adapter(const std::string& input) {
   char path[] = "/tmp/steprail-wire-XXXXXX";
   const std::string dir = mkdtemp(path);
   std::ofstream(dir + "/in") << input;
   const std::string command =
       std::string(STEPRAIL_WIREHOST) + " <" + dir + "/in >" + dir + "/out 2>" + dir + "/err";
-  Played result;
+  Output result;
   result.code = WEXITSTATUS(std::system(command.c_str()));
-  std::stringstream out(slurp(dir + "/out"));
+  std::stringstream out(read_file(dir + "/out"));
   for (std::string line; std::getline(out, line);) result.lines.push_back(json::parse(line));
-  result.fault = slurp(dir + "/err");
+  result.stderr_text = read_file(dir + "/err");
   for (const char* name : {"/in", "/out", "/err"}) std::remove((dir + name).c_str());
   std::remove(dir.c_str());
   return result;
@@ -60,7 +61,8 @@
              {"hard_limit_us", 3000000}}}}};
 }
 
-std::string opening(const json& params = settings()) {
+// One batch that starts a gateway and lists one engine: five lines.
+std::string start_messages(const json& params = settings()) {
   const json start = {{"start", {{"who", "dispatcher/0"}, {"salt", 5}, {"params", params}}}};
   return R"({"begin_batch":{"at_time_us":1000,"turn":1}})"
          "\n" +
@@ -83,8 +85,8 @@
     R"({"arrival":{"who":"dispatcher/0","op_id":42,"type":"small","left_us":3000000,"guess_us":9000,"odd":1}})";
 
 TEST(Wire, AQueryIsSentToTheListedEngine) {
-  const Played result = play(opening() + batch(kArrival));
-  EXPECT_EQ(result.code, 0) << result.fault;
+  const Output result = run_adapter(start_messages() + batch(kArrival));
+  EXPECT_EQ(result.code, 0) << result.stderr_text;
   ASSERT_EQ(result.lines.size(), 4U);
   EXPECT_EQ(result.lines[1]["yield"]["turn"], 1);
   EXPECT_EQ(result.lines[2]["hand_off"]["op_id"], 42);
@@ -93,55 +95,55 @@
   EXPECT_EQ(result.lines[3]["yield"]["turn"], 2);
 }
 
-TEST(Wire, AnOutcomeWithItsReportIsUnderstood) {
-  const Played result = play(
-      opening() + batch(kArrival) +
+TEST(Wire, AnAttemptsEndWithALoadReportIsAccepted) {
+  const Output result = run_adapter(
+      start_messages() + batch(kArrival) +
       batch(
           R"({"closed_attempt":{"who":"dispatcher/0","op_id":42,"status":"delivered","node":"10.0.0.1:1",)"
           R"("round_no":0,"stats":36867,"delay_seen_us":9500,"closed":true,"health_info":{"concurrent":3}}})"));
-  EXPECT_EQ(result.code, 0) << result.fault;
+  EXPECT_EQ(result.code, 0) << result.stderr_text;
   EXPECT_EQ(result.lines.size(), 5U);
 }
 
-TEST(Wire, AnEmptyBatchYields) {
-  const Played result = play("{\"begin_batch\":{\"at_time_us\":1,\"turn\":9}}\n{\"commit\":{}}\n");
+TEST(Wire, AnEmptyBatchIsAcknowledged) {
+  const Output result = run_adapter("{\"begin_batch\":{\"at_time_us\":1,\"turn\":9}}\n{\"commit\":{}}\n");
   EXPECT_EQ(result.code, 0);
   ASSERT_EQ(result.lines.size(), 1U);
   EXPECT_EQ(result.lines[0]["yield"]["turn"], 9);
 }
 
-TEST(Wire, BadSettingsBecomeAnInternalError) {
+TEST(Wire, InvalidSettingsAreReportedAsAnInternalError) {
   json params = settings();
   params["limits"]["most_tries"] = 0;
-  const Played result = play(opening(params));
-  EXPECT_EQ(result.code, 0) << result.fault;
+  const Output result = run_adapter(start_messages(params));
+  EXPECT_EQ(result.code, 0) << result.stderr_text;
   ASSERT_FALSE(result.lines.empty());
   EXPECT_NE(result.lines[0]["internal_error"]["what"].get<std::string>().find("most_tries"),
             std::string::npos);
 }
 
-struct BadLine {
+struct MalformedMessage {
   const char* line;
-  const char* fault;
+  const char* expected_text;  // that standard error must contain
 };
-void PrintTo(const BadLine& bad, std::ostream* out) { *out << bad.fault; }
-class Malformed : public ::testing::TestWithParam<BadLine> {};
+void PrintTo(const MalformedMessage& message, std::ostream* out) { *out << message.expected_text; }
+class MalformedInput : public ::testing::TestWithParam<MalformedMessage> {};
 
-TEST_P(Malformed, EndsWithTheLineAndTheFault) {
-  const Played result = play(opening() + batch(GetParam().line));
+TEST_P(MalformedInput, EndsWithTheLineNumberAndTheError) {
+  const Output result = run_adapter(start_messages() + batch(GetParam().line));
   EXPECT_NE(result.code, 0);
-  EXPECT_NE(result.fault.find("line 7"), std::string::npos) << result.fault;
-  EXPECT_NE(result.fault.find(GetParam().fault), std::string::npos) << result.fault;
+  EXPECT_NE(result.stderr_text.find("line 7"), std::string::npos) << result.stderr_text;
+  EXPECT_NE(result.stderr_text.find(GetParam().expected_text), std::string::npos) << result.stderr_text;
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Wire, Malformed,
+    Wire, MalformedInput,
     ::testing::Values(
-        BadLine{"nonsense", "parse"}, BadLine{R"({"arrival":{"op_id":1}})", "who"},
-        BadLine{R"({"arrival":{"who":"dispatcher/0","op_id":1,"type":"huge"}})", "huge"},
-        BadLine{R"({"sync":{"who":"dispatcher/0","mode":"FULL","seq_no":2,"roster_id":9}})", "list"},
-        BadLine{R"({"alarm":{"who":"dispatcher/8","label":1}})", "dispatcher/8"},
-        BadLine{R"({"mystery":{"who":"dispatcher/0","op_id":1,"round_no":0,"node":"10.0.0.1:1"}})",
-                "mystery"}));
+        MalformedMessage{"nonsense", "parse"}, MalformedMessage{R"({"arrival":{"op_id":1}})", "who"},
+        MalformedMessage{R"({"arrival":{"who":"dispatcher/0","op_id":1,"type":"huge"}})", "huge"},
+        MalformedMessage{R"({"sync":{"who":"dispatcher/0","mode":"FULL","seq_no":2,"roster_id":9}})", "list"},
+        MalformedMessage{R"({"alarm":{"who":"dispatcher/8","label":1}})", "dispatcher/8"},
+        MalformedMessage{R"({"mystery":{"who":"dispatcher/0","op_id":1,"round_no":0,"node":"10.0.0.1:1"}})",
+                         "mystery"}));
 
 }  // namespace
