--- a/src/config.cpp
+++ b/src/config.cpp
@@ -43,8 +43,8 @@
   config.engines.max_attempts_per_connection =
       std::max(1, optional_field(params.at("limits"), "multiplex", 1));
   config.engines.connect_timeout = config.settings.connect_timeout;
-  config.engines.idle_timeout = micros(params.at("limits"), "conn_idle_us");
-  config.engines.request_load_reports = config.settings.reports != Reports::kSilent;
+  config.engines.idle_timeout = read_micros(params.at("limits"), "conn_idle_us");
+  config.engines.request_load_reports = config.settings.report_mode != ReportMode::kNone;
   return config;
 }
 
--- a/src/config.h
+++ b/src/config.h
@@ -20,7 +20,7 @@
   nlohmann::json known_list;
   Settings settings;
   EnginePool::Limits engines;  // except `connections` and `sharing`, which the caller sets
-  Tables tables;
+  NameTables tables;
 };
 
 // Throws std::runtime_error with a one-line message if the file cannot be read or used.
--- a/src/core/coordinator.cpp
+++ b/src/core/coordinator.cpp
@@ -87,18 +87,18 @@
   arrival.id = q.id;
   arrival.cls = q.cls;
   arrival.tenant = q.tenant;
-  arrival.left = request.deadline - q.received_at;
+  arrival.remaining = request.deadline - q.received_at;
   arrival.estimate_ms = q.estimate_ms;
   arrival.memory_mb = q.memory_mb;
-  arrival.group = q.table_group;
-  arrival.resent = q.client_retry;
+  arrival.table_group = q.table_group;
+  arrival.client_retry = q.client_retry;
   if (routing_ != nullptr) routing_->arrived(q, arrival);
   log_.event(Level::kDebug, "arrived",
              {{"id", q.name},
               {"class", q.class_name},
               {"group", q.table_group},
               {"work", q.estimate_ms},
-              {"left", arrival.left.count() / 1000},
+              {"left", arrival.remaining.count() / 1000},
               {"again", q.client_retry}});
   enqueue(arrival);
 }
@@ -113,7 +113,7 @@
   // The coordinator closed the connection: as with a cancel, the engine has not noticed yet.
   const bool closed_here = end.cause == EndCause::kMalformedAnswer ||
                            end.cause == EndCause::kCommandsUnread || end.cause == EndCause::kEngineReplaced;
-  if (closed_here && end.outcome != Outcome::kDialFailed) {
+  if (closed_here && end.outcome != Outcome::kConnectFailed) {
     defer_end(request, end.outcome, end.cause);
     return schedule_iteration();
   }
@@ -121,7 +121,7 @@
   close_attempt(request, end.outcome, end.cause, end.report);
 }
 
-void Coordinator::note_received(Note note) {
+void Coordinator::note_received(ProgressReport note) {
   const auto at = open_requests_.find(note.id);
   if (at != open_requests_.end())
     log_.event(Level::kDebug, "noted",
@@ -129,7 +129,7 @@
                 {"attempt", note.attempt},
                 {"engine", note.engine},
                 {"topic", static_cast<int>(note.topic)},
-                {"amount", note.amount}});
+                {"amount", note.value}});
   enqueue(note);
 }
 void Coordinator::probed(ProbeResult result) { enqueue(std::move(result)); }
@@ -139,7 +139,7 @@
   // The engine pool learns of a drain at once, not with the batch: queued commands must not be sent after it.
   for (const EngineChange& change : changes) engines_->apply_change(change);
   auto update = routing_ != nullptr ? routing_->list_changed(mode, entries, changes) : std::nullopt;
-  enqueue(ListNews{mode, std::move(entries)});
+  enqueue(ListUpdate{mode, std::move(entries)});
   if (update) enqueue(std::move(*update));
 }
 
@@ -153,7 +153,7 @@
   for (auto& [id, request] : open_requests_) {
     if (request.answered) continue;
     const ClassSettings& cls = settings_.classes[static_cast<std::size_t>(request.query.cls)];
-    const bool safe_to_retry = request.attempts == 0 || cls.effect == Effect::kRepeatable;
+    const bool safe_to_retry = request.attempts == 0 || cls.idempotency == Idempotency::kIdempotent;
     // Reported to the gateway as if the client had disconnected, so that it cancels the attempt in flight.
     enqueue(ClientGone{id});
     answer_request(request, {safe_to_retry ? Verdict::kRefused : Verdict::kFailed, {}, {}}, "stopping");
@@ -163,7 +163,7 @@
 // Queues the end of an attempt for the gateway; called exactly once for each attempt.
 void Coordinator::close_attempt(OpenRequest& request, Outcome outcome, EndCause cause, LoadReport report) {
   request.attempt_state = AttemptState::kClosing;
-  Closed closed;
+  AttemptClosed closed;
   closed.id = request.query.id;
   closed.attempt = request.attempts - 1;
   closed.engine = request.engine;
@@ -177,7 +177,7 @@
               {"outcome", kOutcomes[static_cast<std::size_t>(outcome)]},
               {"cause", kCauses[static_cast<std::size_t>(cause)]},
               {"ms", closed.delay.count() / 1000},
-              {"util", report.utilisation.value_or(-1)},
+              {"util", report.cpu_utilisation.value_or(-1)},
               {"inflight", report.in_flight.value_or(-1)}});
   enqueue(closed);
 }
@@ -245,7 +245,7 @@
     const Timeout due = timeouts_.top();
     timeouts_.pop();
     if (due.kind == TimeoutKind::kAlarm) {
-      pending_events_.push_back(Alarm{due.id});
+      pending_events_.push_back(TimerFired{due.id});
       continue;
     }
     const auto at = open_requests_.find(due.id);
@@ -253,7 +253,7 @@
     OpenRequest& request = at->second;
     if (due.kind == TimeoutKind::kAttempt) {
       if (request.attempt_state == AttemptState::kInFlight && due.attempt == request.attempts - 1)
-        cancel_attempt(request, Outcome::kExpired, EndCause::kTimedOut);
+        cancel_attempt(request, Outcome::kTimedOut, EndCause::kTimedOut);
     } else if (due.kind == TimeoutKind::kDeferredEnd) {
       close_attempt(request, request.deferred_outcome, request.deferred_cause);
     } else if (!request.answered && request.attempt_state != AttemptState::kNone) {
@@ -272,7 +272,7 @@
   RequestId ended_id{};
   bool may_erase = false;
   if (auto* arrival = std::get_if<Arrival>(&event)) {
-    arrival->left = std::max(Micros{0}, open_requests_.at(arrival->id).deadline - now_);
+    arrival->remaining = std::max(Micros{0}, open_requests_.at(arrival->id).deadline - now_);
   } else if (const auto* gone = std::get_if<ClientGone>(&event)) {
     const auto at = open_requests_.find(gone->id);
     if (at == open_requests_.end()) return;
@@ -282,13 +282,13 @@
       if (routing_ != nullptr) routing_->ended(gone->id, Routing::Result::kGone);
     }
     ended_id = gone->id, may_erase = true;
-  } else if (auto* closed = std::get_if<Closed>(&event)) {
+  } else if (auto* closed = std::get_if<AttemptClosed>(&event)) {
     OpenRequest& request = open_requests_.at(closed->id);
     request.attempt_state = AttemptState::kNone;
     if (closed->outcome == Outcome::kDelivered && !request.answered)
       answer_request(request, {Verdict::kServed, {}, std::move(request.pages)}, "answered");
     request.pages.clear();
-    closed->ended = request.answered;
+    closed->request_answered = request.answered;
     ended_id = closed->id, may_erase = true;
   }
   gateway_.handle(now_, event, actions_);
@@ -346,9 +346,9 @@
   request.sent_at = now_;
   ++request.attempts;
   // The client disconnected within this batch: nothing is sent.
-  if (request.answered) return close_attempt(request, Outcome::kUnused, EndCause::kNotSent);
+  if (request.answered) return close_attempt(request, Outcome::kNotSent, EndCause::kNotSent);
   Micros attempt_timeout = request.deadline - now_;
-  if (send.patience.count() > 0) attempt_timeout = std::min(attempt_timeout, send.patience);
+  if (send.timeout.count() > 0) attempt_timeout = std::min(attempt_timeout, send.timeout);
   request.attempt_state = AttemptState::kInFlight;
   timeouts_.push(
       {now_ + attempt_timeout, TimeoutKind::kAttempt, send.id, request.generation, request.attempts - 1});
@@ -357,7 +357,7 @@
               {"attempt", request.attempts - 1},
               {"engine", send.engine},
               {"patience", attempt_timeout.count() / 1000},
-              {"bound", gateway_.backlog_bound(send.engine)},
+              {"bound", gateway_.backlog_limit(send.engine)},
               {"backlog", gateway_.backlog(send.engine)}});
   engines_->send({request.query, request.attempts - 1, send.engine, attempt_timeout});
 }
@@ -367,13 +367,14 @@
   if (at == open_requests_.end()) return;
   OpenRequest& request = at->second;
   if (request.attempt_state != AttemptState::kInFlight || cancel.attempt != request.attempts - 1) return;
-  cancel_attempt(request, Outcome::kRevoked, EndCause::kCancelled);
+  cancel_attempt(request, Outcome::kCancelled, EndCause::kCancelled);
 }
 
 void Coordinator::execute(const Refuse& refuse) {
   const auto at = open_requests_.find(refuse.id);
   if (at == open_requests_.end()) return;
-  answer_request(at->second, {Verdict::kRefused, settings_.retry_after ? refuse.wait : Micros{0}, {}},
+  answer_request(at->second,
+                 {Verdict::kRefused, settings_.may_send_retry_after ? refuse.retry_after : Micros{0}, {}},
                  kReasons[static_cast<std::size_t>(refuse.reason)]);
   erase_if_ended(refuse.id);
 }
--- a/src/core/coordinator.h
+++ b/src/core/coordinator.h
@@ -35,10 +35,10 @@
   void arrived(Query query);
   void client_gone(RequestId id);
   void attempt_ended(AttemptEnd end);
-  void note_received(Note note);
+  void note_received(ProgressReport note);
   void probed(ProbeResult result);
   void list_changed(ListMode mode, std::vector<EngineEntry> entries, std::vector<EngineChange> changes);
-  void routes_changed(RoutesNews update) { enqueue(std::move(update)); }
+  void routes_changed(RoutesUpdate update) { enqueue(std::move(update)); }
 
   // Schedules an event loop iteration, which flushes all pending writes at its end.
   void schedule_iteration();
@@ -99,8 +99,8 @@
   void execute(const Probe& probe);
   void execute(const Timer& timer);
   void execute(const Log& text);
-  void execute(const Terms&) {}      // engines choose memory themselves and ignore priorities
-  void execute(const Subscribe&) {}  // the directory is followed from the start
+  void execute(const SetResources&) {}  // engines choose memory themselves and ignore priorities
+  void execute(const Subscribe&) {}     // the directory is followed from the start
   void execute(const FetchList&) {}
 
   Strand strand_;
--- a/src/core/ports.h
+++ b/src/core/ports.h
@@ -80,7 +80,7 @@
   int engine{};
   std::string name;
   std::string address;
-  Standing standing{Standing::kReady};
+  EngineStatus standing{EngineStatus::kReady};
   Micros started_at{0};
 };
 
@@ -94,8 +94,8 @@
   virtual void arrived(const Query& query, Arrival& arrival) = 0;
   virtual void ended(RequestId id, Result result) = 0;
   // Called after each change of the engine list; returns the update that the gateway needs, if any.
-  virtual std::optional<RoutesNews> list_changed(ListMode mode, const std::vector<EngineEntry>& entries,
-                                                 const std::vector<EngineChange>& changes) = 0;
+  virtual std::optional<RoutesUpdate> list_changed(ListMode mode, const std::vector<EngineEntry>& entries,
+                                                   const std::vector<EngineChange>& changes) = 0;
 };
 
 class Engines {
--- a/src/gateway.cpp
+++ b/src/gateway.cpp
@@ -160,7 +160,7 @@
       listed{},   // on the engine list, and ready
       ejected{};  // by outlier ejection: gets trials and probes only
   std::uint64_t name_hash{};
-  Standing standing{Standing::kReady};
+  EngineStatus standing{EngineStatus::kReady};
   int zone{}, kind{}, cell{};
   Micros started_at{0};   // 0: long ago
   double backlog{},       // cost of this gateway's attempts in flight
@@ -209,7 +209,7 @@
   bool finished{}, over_quota{};
   int possible_run_engine{-1};  // where an attempt may have run first, and when that one was sent
   Micros possible_run_at{0}, paused_until{0};
-  std::shared_ptr<const RouteFigures> route;
+  std::shared_ptr<const RouteParameters> route;
   bool attempt_in_flight() const { return !attempts.empty() && attempts.back().open; }
 };
 
@@ -310,9 +310,9 @@
   // Learns the class's work, the corrections of its clients' estimates, and the time that a unit of work
   // takes. A query far more expensive than expected says something about its plan and not about its class, so
   // measured values are clamped.
-  void learn_from_answer(const Request& request, const Closed& closed) {
+  void learn_from_answer(const Request& request, const AttemptClosed& closed) {
     const double measured_thread_ms = to_ms(closed.delay) * class_of(request).threads;
-    double work = settings_.tells_cost ? closed.true_work_ms : 0;
+    double work = settings_.reports_cost ? closed.actual_work_ms : 0;
     ClassState& class_state = classes_[static_cast<std::size_t>(request.cls)];
     if (work > 0) {
       const double expected_work = request.cost_ms / time_per_work_;
@@ -320,8 +320,8 @@
       if (request.work_estimate_ms > 0 && std::isfinite(request.work_estimate_ms))
         class_state.work_correction.add(work / std::min(request.work_estimate_ms, kMaxCostMs));
       if (request.memory_estimate_mb > 0)
-        class_state.memory_correction.add(
-            std::clamp(closed.true_memory_mb / request.memory_estimate_mb, 1 / kMaxCostRatio, kMaxCostRatio));
+        class_state.memory_correction.add(std::clamp(closed.actual_memory_mb / request.memory_estimate_mb,
+                                                     1 / kMaxCostRatio, kMaxCostRatio));
     } else {
       work = request.cost_ms / time_per_work_;
     }
@@ -461,7 +461,8 @@
     const bool is_warm = std::find(engine.warm_groups.begin(), engine.warm_groups.end(), request.group) !=
                          engine.warm_groups.end();
     if (is_warm && request.group >= 0) weight *= kWarmGroupWeight;
-    if ((class_of(request).load || class_of(request).yields_to_load) && group_is_held(engine, request.group))
+    if ((class_of(request).is_load || class_of(request).yields_to_load) &&
+        group_is_held(engine, request.group))
       weight *= kHeldGroupWeight;
     if (settings_.own_zone >= 0 && engine.zone != settings_.own_zone)
       weight /= 1 + kCrossZoneWeightFactor * settings_.cross_zone_cost;
@@ -478,7 +479,7 @@
   void choose_subset() {
     constexpr double kGoldenRatio = 0.6180339887498949;
     const auto ring_position = [](int i) { return i * kGoldenRatio - std::floor(i * kGoldenRatio); };
-    const double own_position = ring_position(settings_.own_number);
+    const double own_position = ring_position(settings_.own_index);
     std::vector<std::pair<double, int>> ring;
     double pool_capacity = 0;
     for (int i = 0; i < static_cast<int>(engines_.size()); ++i) {
@@ -556,20 +557,21 @@
   // engine to avoid comes last.
   std::vector<int> draw_order(const Request& request, int avoided_engine) {
     std::vector<std::pair<double, int>> draws;
-    const bool uses_reservation = class_of(request).load || class_of(request).yields_to_load;
+    const bool uses_reservation = class_of(request).is_load || class_of(request).yields_to_load;
     if (uses_reservation) reserve_engines(request.group);
     for (int i = 0; i < static_cast<int>(engines_.size()); ++i) {
       const Engine& engine = engines_[static_cast<std::size_t>(i)];
       if (!engine.usable() || i == avoided_engine) continue;
       const bool is_reserved = uses_reservation && reserved_[static_cast<std::size_t>(i)];
-      const double reservation_weight = class_of(request).load && !is_reserved   ? kUnreservedEngineWeight
-                                        : is_reserved && !class_of(request).load ? kHeldGroupWeight
-                                                                                 : 1;
+      const double reservation_weight = class_of(request).is_load && !is_reserved   ? kUnreservedEngineWeight
+                                        : is_reserved && !class_of(request).is_load ? kHeldGroupWeight
+                                                                                    : 1;
       draws.emplace_back(std::log(uniform()) / (reservation_weight * draw_weight(engine, request)), i);
     }
     std::sort(draws.begin(), draws.end(), std::greater<>());
     std::vector<int> order;
-    const bool may_run_trial = class_of(request).effect == Effect::kRepeatable && request.attempts.empty() &&
+    const bool may_run_trial = class_of(request).idempotency == Idempotency::kIdempotent &&
+                               request.attempts.empty() &&
                                request.run_time_ms <= mean_run_time(request.cls) && max_attempts(request) > 1;
     for (int i = 0; may_run_trial && i < static_cast<int>(engines_.size()); ++i) {
       Engine& engine = engines_[static_cast<std::size_t>(i)];
@@ -618,7 +620,7 @@
     for (int i : order)
       if (is_retry && send(id, request, i)) return;
     finish(id, request,
-           is_retry && !may_retry(request) ? AnswerReason::kTriesUsedUp : AnswerReason::kNoEngine);
+           is_retry && !may_retry(request) ? AnswerReason::kAttemptsUsedUp : AnswerReason::kNoEngine);
   }
 
   // ---- 4. Health ----
@@ -676,21 +678,21 @@
       const Engine& engine = engines_[static_cast<std::size_t>(attempt.engine)];
       // Progress messages of this attempt are missing while others of its engine arrive: its connection is
       // dead, or its answer was lost.
-      if (now_ - attempt.last_response_at > 3 * settings_.progress &&
-          now_ - engine.last_response_at < settings_.progress)
+      if (now_ - attempt.last_response_at > 3 * settings_.progress_interval &&
+          now_ - engine.last_response_at < settings_.progress_interval)
         cancel_for_retry(id, request);
       const Micros max_run_time = request.route ? request.route->move_after : Micros{0};
       if (max_run_time.count() > 0 && now_ - attempt.sent_at >= max_run_time) cancel_for_retry(id, request);
       const double silent_ms = to_ms(now_ - std::max(attempt.sent_at, engine.last_response_at));
-      const double max_silent_ms = settings_.progress.count() > 0
-                                       ? 3 * to_ms(settings_.progress)
+      const double max_silent_ms = settings_.progress_interval.count() > 0
+                                       ? 3 * to_ms(settings_.progress_interval)
                                        : kOverdueFactor * expected_run_time(request) + to_ms(kTickInterval);
       if (silent_ms > max_silent_ms) ++overdue[attempt.engine];
     }
     for (const auto& [i, count] : overdue) {
       Engine& engine = engines_[static_cast<std::size_t>(i)];
       // Without progress messages a single overdue attempt may just be a slow query.
-      if (count < 2 && settings_.progress.count() == 0) continue;
+      if (count < 2 && settings_.progress_interval.count() == 0) continue;
       add_failure_score(engine, kAttemptFailureScore);
       // Repeatable queries leave a silent engine once it is ejected; others cannot be retried safely.
       for (auto& [id, request] : requests_)
@@ -703,16 +705,16 @@
 
   // A route may lower the settings' number of attempts, never raise it.
   int max_attempts(const Request& request) const {
-    return request.route && request.route->most_tries > 0
-               ? std::min(request.route->most_tries, settings_.most_tries)
-               : settings_.most_tries;
+    return request.route && request.route->max_attempts > 0
+               ? std::min(request.route->max_attempts, settings_.max_attempts)
+               : settings_.max_attempts;
   }
 
   // Whether the running attempt may be cancelled in favour of a new one that can still end before the
   // deadline.
   bool retry_is_worthwhile(const Request& request) const {
-    return settings_.may_cancel && class_of(request).effect == Effect::kRepeatable && !request.finished &&
-           !request.attempts.back().streaming &&
+    return settings_.may_cancel && class_of(request).idempotency == Idempotency::kIdempotent &&
+           !request.finished && !request.attempts.back().streaming &&
            static_cast<int>(request.attempts.size()) < max_attempts(request) &&
            retry_budget_allows(request) && to_ms(request.deadline - now_) > expected_run_time(request);
   }
@@ -729,12 +731,14 @@
 
   // How long the next attempt may run; 0 means as long as the client waits, which is used for a last attempt.
   Micros attempt_timeout(const Request& request) const {
-    if (request.route && !request.route->patience.empty())
-      return request.route->patience[std::min(request.attempts.size(), request.route->patience.size() - 1)];
-    const bool retry_possible = class_of(request).effect == Effect::kRepeatable &&
+    if (request.route && !request.route->attempt_timeouts.empty())
+      return request.route
+          ->attempt_timeouts[std::min(request.attempts.size(), request.route->attempt_timeouts.size() - 1)];
+    const bool retry_possible = class_of(request).idempotency == Idempotency::kIdempotent &&
                                 static_cast<int>(request.attempts.size()) + 1 < max_attempts(request);
     // With progress messages, their absence shows a lost attempt sooner, and their pace one that is too slow.
-    if (!retry_possible || (oversubscription_ > 0 && settings_.progress.count() > 0)) return Micros{0};
+    if (!retry_possible || (oversubscription_ > 0 && settings_.progress_interval.count() > 0))
+      return Micros{0};
     return from_ms(std::max(kAttemptTimeoutShare * to_ms(request.deadline - now_),
                             kOverdueFactor * expected_run_time(request)));
   }
@@ -743,18 +747,19 @@
 
   // Whether one more retry fits the route's budget and the settings' ratio of retries to arrivals.
   bool retry_budget_allows(const Request& request) const {
-    if (request.route && request.route->ration && retry_budgets_.at(request.route->number) < 1) return false;
-    if (!settings_.extra_ratio) return true;
-    const Micros window_start = now_ - settings_.look_back;
+    if (request.route && request.route->retry_budget_ratio && retry_budgets_.at(request.route->id) < 1)
+      return false;
+    if (!settings_.retry_budget_ratio) return true;
+    const Micros window_start = now_ - settings_.retry_budget_window;
     const auto recent = [window_start](Micros t) { return t > window_start; };
     const auto retries = static_cast<double>(std::count_if(retry_times_.begin(), retry_times_.end(), recent));
     const auto arrivals =
         static_cast<double>(std::count_if(arrival_times_.begin(), arrival_times_.end(), recent));
-    return retries + 1 <= settings_.free_resends + *settings_.extra_ratio * arrivals;
+    return retries + 1 <= settings_.retry_budget_base + *settings_.retry_budget_ratio * arrivals;
   }
 
   bool in_slow_start(const Engine& engine) const {
-    return engine.started_at.count() > 0 && now_ < engine.started_at + settings_.cold_for;
+    return engine.started_at.count() > 0 && now_ < engine.started_at + settings_.slow_start_time;
   }
 
   // The class's mean work, at least its default: a gateway that has seen only a few light queries would
@@ -768,12 +773,12 @@
   bool slow_start_allows(Engine& engine, const Request& request) const {
     if (!in_slow_start(engine)) return true;
     while (!engine.slow_start_sends.empty() &&
-           engine.slow_start_sends.front().first < now_ - settings_.fall_after)
+           engine.slow_start_sends.front().first < now_ - settings_.overload_window)
       engine.slow_start_sends.pop_front();
     double used = mean_work(request.cls);
     for (const auto& [_, sent_work] : engine.slow_start_sends) used += sent_work;
-    const double capacity = cores(engine) * kCapacityUtilisation * settings_.cold_from;
-    const double budget = settings_.overload_factor * capacity * to_ms(settings_.fall_after);
+    const double capacity = cores(engine) * kCapacityUtilisation * settings_.slow_start_share;
+    const double budget = settings_.overload_factor * capacity * to_ms(settings_.overload_window);
     const double gateway_share = budget / settings_.gateways;
     if (mean_work(request.cls) <= gateway_share * kSlowStartMargin)
       return used <= gateway_share * kSlowStartMargin;
@@ -782,7 +787,7 @@
     // the budget holds many.
     const double work = slow_start_work(request);
     const double earned_work = gateway_share * kSlowStartRandomShare * to_ms(now_ - engine.start_learned_at) /
-                               to_ms(settings_.fall_after);
+                               to_ms(settings_.overload_window);
     return work * kSlowStartMinQueries <= budget &&
            engine.slow_start_used + work <= earned_work + engine.slow_start_offset * work;
   }
@@ -798,18 +803,20 @@
   // Waits for the route's pause, with jitter, before the next attempt. A request whose next attempt could not
   // end in time after the pause, or may not be made at all, is answered at once.
   void pause_before_retry(RequestId id, Request& request) {
-    const double pause_ms = to_ms(request.route->pause) * (1 + request.route->jitter * (2 * uniform() - 1));
+    const double pause_ms =
+        to_ms(request.route->retry_delay) * (1 + request.route->retry_jitter * (2 * uniform() - 1));
     request.paused_until = now_ + from_ms(pause_ms);
     if (request.paused_until + from_ms(expected_run_time(request)) >= request.deadline)
       return finish(id, request, AnswerReason::kDeadlineNear);
-    if (!may_retry(request)) return finish(id, request, AnswerReason::kTriesUsedUp);
+    if (!may_retry(request)) return finish(id, request, AnswerReason::kAttemptsUsedUp);
     paused_requests_.emplace(request.paused_until, id);
     emit(Timer{request.paused_until, kRetryPauseTimerLabel});
   }
 
   // Whether a retry is possible at all, on whichever engine and after whatever wait.
   bool may_retry(const Request& request) const {
-    const bool safe_to_repeat = request.possible_run_engine < 0 || class_of(request).effect != Effect::kOnce;
+    const bool safe_to_repeat =
+        request.possible_run_engine < 0 || class_of(request).idempotency != Idempotency::kNone;
     return safe_to_repeat && static_cast<int>(request.attempts.size()) < max_attempts(request) &&
            retry_budget_allows(request);
   }
@@ -823,15 +830,16 @@
   // never for those that may run once only, and for requests deduplicated by key where the engine shares the
   // deduplication scope of the first possible run, within the deduplication window.
   bool effect_allows(const Request& request, int engine) const {
-    if (request.possible_run_engine < 0 || class_of(request).effect == Effect::kRepeatable) return true;
-    if (class_of(request).effect == Effect::kOnce ||
+    if (request.possible_run_engine < 0 || class_of(request).idempotency == Idempotency::kIdempotent)
+      return true;
+    if (class_of(request).idempotency == Idempotency::kNone ||
         now_ >= request.possible_run_at + class_of(request).dedup_window)
       return false;
     const Engine& previous = engines_[static_cast<std::size_t>(request.possible_run_engine)];
     const Engine& candidate = engines_[static_cast<std::size_t>(engine)];
-    return class_of(request).dedup_scope == Scope::kAll ||
-           (class_of(request).dedup_scope == Scope::kZone && previous.zone == candidate.zone) ||
-           (class_of(request).dedup_scope == Scope::kCell && previous.cell == candidate.cell);
+    return class_of(request).dedup_scope == DedupScope::kAll ||
+           (class_of(request).dedup_scope == DedupScope::kZone && previous.zone == candidate.zone) ||
+           (class_of(request).dedup_scope == DedupScope::kCell && previous.cell == candidate.cell);
   }
 
   // Whether the request is the first of its key's queue, and no earlier attempt of the key may still be
@@ -851,7 +859,7 @@
       return false;
     if (static_cast<int>(request.attempts.size()) >= max_attempts(request) || !in_pool(request, index))
       return false;
-    if (!engine.listed || engine.standing != Standing::kReady) return false;
+    if (!engine.listed || engine.standing != EngineStatus::kReady) return false;
     if (!allowed(class_of(request).zones, engine.zone) || !allowed(class_of(request).kinds, engine.kind))
       return false;
     if (!effect_allows(request, index) || !slow_start_allows(engine, request)) return false;
@@ -859,8 +867,8 @@
     update_terms(id, request, engine);
     emit(Send{id, index, attempt_timeout(request)});
     if (!request.attempts.empty()) retry_times_.push_back(now_);
-    if (!request.attempts.empty() && request.route && request.route->ration)
-      retry_budgets_[request.route->number] -= 1;
+    if (!request.attempts.empty() && request.route && request.route->retry_budget_ratio)
+      retry_budgets_[request.route->id] -= 1;
     if (in_slow_start(engine)) {
       engine.slow_start_sends.emplace_back(now_, mean_work(request.cls));
       engine.slow_start_used += slow_start_work(request);
@@ -877,7 +885,7 @@
     std::erase(engine.warm_groups, request.group);
     engine.warm_groups.push_front(request.group);
     if (engine.warm_groups.size() > kMaxWarmGroups) engine.warm_groups.pop_back();
-    if (class_of(request).load) ++engine.running_loads[request.group];
+    if (class_of(request).is_load) ++engine.running_loads[request.group];
     return true;
   }
 
@@ -888,11 +896,13 @@
     if (request.finished) return;
     const ClassSettings& c = class_of(request);
     const bool may_have_run = request.possible_run_engine >= 0 || request.attempt_in_flight();
-    const bool safe_to_repeat = !may_have_run || c.effect == Effect::kRepeatable ||
-                                (c.effect == Effect::kByKey && c.dedup_scope == Scope::kAll);
+    const bool safe_to_repeat = !may_have_run || c.idempotency == Idempotency::kIdempotent ||
+                                (c.idempotency == Idempotency::kByKey && c.dedup_scope == DedupScope::kAll);
     if (safe_to_repeat && now_ < request.deadline) {
-      emit(Refuse{id, settings_.retry_after ? std::min(kControlPeriod, settings_.max_retry_after) : Micros{0},
-                  reason});
+      emit(Refuse{
+          id,
+          settings_.may_send_retry_after ? std::min(kControlPeriod, settings_.max_retry_after) : Micros{0},
+          reason});
     } else {
       emit(Fail{id, reason});
     }
@@ -952,7 +962,7 @@
   // the higher. 0, the lowest, is not used, as it would starve a class with distant deadlines while cores are
   // short.
   int priority(const Request& request) const {
-    if (!settings_.priority_heeded) return 1;
+    if (!settings_.honors_priority) return 1;
     if (request.route && request.route->priority >= 0) return request.route->priority;
     // Other requests of its key wait behind this one, so it is as urgent as the most urgent of them.
     if (request.key && class_of(request).keep_order && key_queues_.at(*request.key).queue.size() > 1)
@@ -968,10 +978,10 @@
   double memory_grant(const Request& request, const Engine& engine) const {
     const auto& class_state = classes_[static_cast<std::size_t>(request.cls)];
     const double max_memory_mb =
-        settings_.largest_share * settings_.kinds[static_cast<std::size_t>(engine.kind)].memory_mb;
-    if (settings_.memory_heeded && request.route && request.route->memory_mb > 0)
+        settings_.max_memory_share * settings_.kinds[static_cast<std::size_t>(engine.kind)].memory_mb;
+    if (settings_.honors_memory && request.route && request.route->memory_mb > 0)
       return std::min(max_memory_mb, request.route->memory_mb);
-    if (!settings_.memory_heeded || request.memory_estimate_mb <= 0 ||
+    if (!settings_.honors_memory || request.memory_estimate_mb <= 0 ||
         class_state.memory_correction.weight < kMinCorrectionSamples)
       return 0;
     return std::min(max_memory_mb,
@@ -980,7 +990,7 @@
 
   // Passes on the memory grant and the priority, if there is a grant or the priority has changed.
   void update_terms(RequestId id, Request& request, const Engine& engine) {
-    const Terms terms{id, memory_grant(request, engine), priority(request)};
+    const SetResources terms{id, memory_grant(request, engine), priority(request)};
     if (terms.memory_mb > 0 || terms.priority != request.priority) emit(terms);
     request.priority = terms.priority;
   }
@@ -988,16 +998,16 @@
   // ---- Events ----
 
   void on(const Started&) {
-    if (settings_.registry == Registry::kAsk) emit(Subscribe{true});
+    if (settings_.registry_mode == RegistryMode::kSubscribe) emit(Subscribe{true});
     emit(Timer{now_ + kTickInterval, kTickTimerLabel});
   }
 
   // Updates the engine list. A new or restarted engine starts with what the settings say, and a part of the
   // limit is held back where many gateways would fill it at once.
-  void on(const ListNews& news) {
+  void on(const ListUpdate& news) {
     if (news.mode == ListMode::kFailed) return void(resubscribe_at_ = now_ + kControlPeriod);
     for (Engine& engine : engines_)
-      if (news.mode != ListMode::kIncremental) engine.listed = false, engine.standing = Standing::kGone;
+      if (news.mode != ListMode::kIncremental) engine.listed = false, engine.standing = EngineStatus::kGone;
     for (const EngineEntry& entry : news.entries) {
       if (entry.engine < 0 || entry.engine >= kMaxEngines || entry.kind < 0 ||
           entry.kind >= static_cast<int>(settings_.kinds.size()))
@@ -1006,12 +1016,12 @@
         engines_.resize(static_cast<std::size_t>(entry.engine) + 1);
       Engine& engine = engines_[static_cast<std::size_t>(entry.engine)];
       if (!engine.known) engine = Engine{};  // the slot may have belonged to another engine
-      const bool restarted = engine.known && entry.came_up > engine.started_at;
+      const bool restarted = engine.known && entry.started_at > engine.started_at;
       engine.zone = entry.zone, engine.kind = entry.kind, engine.cell = entry.cell,
-      engine.name_hash = entry.name;
-      engine.standing = entry.standing;
-      engine.started_at = std::max(engine.started_at, entry.came_up);
-      engine.listed = entry.standing == Standing::kReady;
+      engine.name_hash = entry.name_hash;
+      engine.standing = entry.status;
+      engine.started_at = std::max(engine.started_at, entry.started_at);
+      engine.listed = entry.status == EngineStatus::kReady;
       if (!engine.known || restarted) {
         engine.backlog_limit =
             std::floor(start_limit(engine) * (1 - kStartLimitHoldback * oversubscription_)),
@@ -1025,14 +1035,14 @@
   }
 
   // Replaces the routes. Budgets of routes that remain, or that open requests still use, are kept.
-  void on(const RoutesNews& news) {
+  void on(const RoutesUpdate& news) {
     routes_ = news.routes, pools_ = news.pools;
     std::map<int, double> budgets;
     for (const auto& route : routes_)
-      budgets[route->number] =
-          retry_budgets_.contains(route->number) ? retry_budgets_[route->number] : route->ration_burst;
+      budgets[route->id] =
+          retry_budgets_.contains(route->id) ? retry_budgets_[route->id] : route->retry_budget_burst;
     for (const auto& [id, request] : requests_)
-      if (request.route) budgets.try_emplace(request.route->number, retry_budgets_[request.route->number]);
+      if (request.route) budgets.try_emplace(request.route->id, retry_budgets_[request.route->id]);
     retry_budgets_ = std::move(budgets);
   }
 
@@ -1042,27 +1052,27 @@
         requests_.contains(arrival.id))
       return;
     Request& request = requests_[arrival.id];
-    request.cls = arrival.cls, request.tenant = arrival.tenant, request.group = arrival.group,
+    request.cls = arrival.cls, request.tenant = arrival.tenant, request.group = arrival.table_group,
     request.key = arrival.key;
     request.work_estimate_ms = arrival.estimate_ms;
     request.memory_estimate_mb =
         std::isfinite(arrival.memory_mb) && arrival.memory_mb > 0 ? arrival.memory_mb : 0;
-    request.received_at = now_, request.deadline = now_ + arrival.left;
+    request.received_at = now_, request.deadline = now_ + arrival.remaining;
     request.over_quota = exceeds_quota(arrival.tenant);
     estimate_cost(request);
     if (arrival.route >= 0 && arrival.route < static_cast<int>(routes_.size())) {
       request.route = routes_[static_cast<std::size_t>(arrival.route)];
-      double& budget = retry_budgets_[request.route->number];
-      if (request.route->ration && !arrival.no_place)
-        budget = std::min(request.route->ration_burst, budget + *request.route->ration);
+      double& budget = retry_budgets_[request.route->id];
+      if (request.route->retry_budget_ratio && !arrival.route_full)
+        budget = std::min(request.route->retry_budget_burst, budget + *request.route->retry_budget_ratio);
     }
     request.admission_threshold = oversubscription_ > 0 ? uniform() : 1;
     observed_slack_.add(to_ms(request.slack));
     trial_credit_ = std::min(kMaxCredit, trial_credit_ + kCreditPerRequest);
-    if (settings_.extra_ratio) arrival_times_.push_back(now_);
+    if (settings_.retry_budget_ratio) arrival_times_.push_back(now_);
     if (request.key && class_of(request).keep_order) key_queues_[*request.key].queue.push_back(arrival.id);
-    if (arrival.no_place) return finish(arrival.id, request, AnswerReason::kRouteFull);
-    if (class_of(request).load && !admit_load(request))
+    if (arrival.route_full) return finish(arrival.id, request, AnswerReason::kRouteFull);
+    if (class_of(request).is_load && !admit_load(request))
       return finish(arrival.id, request, AnswerReason::kLoadsFull);
     dispatch(arrival.id, request);
   }
@@ -1099,18 +1109,18 @@
 
   // A progress message of a running attempt: a sign of life, a wait for a load, or the part of the work done.
   // By the latter a slow attempt is retried elsewhere, or given up if it cannot end in time.
-  void on(const Note& note) {
+  void on(const ProgressReport& note) {
     Request* request = request_of_open_attempt(note.id, note.attempt);
     if (request == nullptr) return;
     Attempt& attempt = request->attempts[static_cast<std::size_t>(note.attempt)];
     Engine& engine = engines_[static_cast<std::size_t>(attempt.engine)];
     attempt.last_response_at = now_;
     record_response(engine);
-    if (settings_.priority_heeded && !request->finished && priority(*request) != request->priority)
+    if (settings_.honors_priority && !request->finished && priority(*request) != request->priority)
       update_terms(note.id, *request, engine);
-    if (note.topic == Topic::kWaits && note.amount >= 2)
-      engine.group_held_until[request->group] = now_ + 2 * settings_.progress;
-    if (note.topic != Topic::kProgress || !std::isfinite(note.amount)) return;
+    if (note.topic == ProgressTopic::kWaiting && note.value >= 2)
+      engine.group_held_until[request->group] = now_ + 2 * settings_.progress_interval;
+    if (note.topic != ProgressTopic::kProgress || !std::isfinite(note.value)) return;
     // An attempt that would end after its soft deadline here, and much sooner elsewhere, is retried; but not
     // one that loads would block on every engine. Where the estimate was far too low this does harm: the new
     // attempt takes as long, and the work done is lost.
@@ -1119,7 +1129,7 @@
     };
     if (class_of(*request).yields_to_load && std::all_of(engines_.begin(), engines_.end(), no_better)) return;
     const double elapsed_ms = to_ms(now_ - attempt.sent_at);
-    const double remaining_ms = elapsed_ms / std::clamp(note.amount, 0.01, 1.0) - elapsed_ms;
+    const double remaining_ms = elapsed_ms / std::clamp(note.value, 0.01, 1.0) - elapsed_ms;
     record_slowdown(engine, *request, elapsed_ms + remaining_ms);
     const double fresh_run_time = expected_run_time(*request) * 1.5;
     const bool is_slow = remaining_ms > kMinRetrySpeedup * fresh_run_time &&
@@ -1132,13 +1142,13 @@
       // It cannot end in time, and takes the engine from queries that can.
       attempt.cancelled = true;
       emit(Cancel{note.id, note.attempt});
-      finish(note.id, *request, AnswerReason::kHopeless);
+      finish(note.id, *request, AnswerReason::kCannotFinish);
     }
   }
 
   // Takes the load from a report: the part of the cores in use, or more where the queries in hand say so.
   void record_load_report(Engine& engine, const LoadReport& report) {
-    auto load = report.utilisation;
+    auto load = report.cpu_utilisation;
     reports_count_queries_ = report.in_flight.has_value();
     if (report.in_flight) {
       // Cores fall idle where queries wait for disks or memory: there the number of queries in hand shows the
@@ -1155,7 +1165,7 @@
 
   // An attempt has ended: removes it from its engine's backlog, learns from its outcome, and retries the
   // request or gives its final answer.
-  void on(const Closed& closed) {
+  void on(const AttemptClosed& closed) {
     Request* found = request_of_open_attempt(closed.id, closed.attempt);
     if (found == nullptr) return;
     Request& request = *found;
@@ -1165,18 +1175,19 @@
     engine.backlog = std::max(0.0, engine.backlog - request.cost_ms);
     engine.threads_in_flight -= class_of(request).threads;
     if (--engine.attempts_in_flight == 0) engine.backlog = engine.threads_in_flight = 0;
-    if (class_of(request).load && --engine.running_loads[request.group] <= 0)
+    if (class_of(request).is_load && --engine.running_loads[request.group] <= 0)
       engine.running_loads.erase(request.group);
     record_load_report(engine, closed.report);
-    const bool never_ran = closed.outcome == Outcome::kShed || closed.outcome == Outcome::kDialFailed ||
-                           closed.outcome == Outcome::kUnused;
+    const bool never_ran = closed.outcome == Outcome::kRejected ||
+                           closed.outcome == Outcome::kConnectFailed || closed.outcome == Outcome::kNotSent;
     if (!never_ran && request.possible_run_engine < 0)
       request.possible_run_engine = attempt.engine, request.possible_run_at = attempt.sent_at;
-    const bool outcome_unknown = closed.outcome == Outcome::kExpired || closed.outcome == Outcome::kDropped ||
-                                 closed.outcome == Outcome::kRevoked;
+    const bool outcome_unknown = closed.outcome == Outcome::kTimedOut ||
+                                 closed.outcome == Outcome::kConnectionLost ||
+                                 closed.outcome == Outcome::kCancelled;
     if (outcome_unknown && request.key && class_of(request).keep_order) {
       Micros& blocked_until = key_queues_[*request.key].blocked_until;
-      blocked_until = std::max(blocked_until, now_ + settings_.settle_after_doubt);
+      blocked_until = std::max(blocked_until, now_ + settings_.settle_time);
     }
     if (closed.outcome == Outcome::kDelivered) {
       record_response(engine);
@@ -1185,39 +1196,39 @@
       class_state(request).slowdown.add(record_slowdown(engine, request, to_ms(closed.delay)));
       observed_threads_.add(class_of(request).threads);
     }
-    if (closed.outcome == Outcome::kDelivered || closed.outcome == Outcome::kExpired)
+    if (closed.outcome == Outcome::kDelivered || closed.outcome == Outcome::kTimedOut)
       record_delay_ratio(engine, request, attempt);
     // An engine that refuses an attempt as full says itself that no more fits, so its limit is lowered to the
     // present backlog. This covers engines filled by other gateways, or after other engines have died; an
     // occasional refusal during a burst costs some seconds of a lower limit. With many gateways the refusal
     // also counts as a load report, as reports of busy cores miss the queries that wait for something else.
-    if (closed.outcome == Outcome::kShed && oversubscription_ > 0)
+    if (closed.outcome == Outcome::kRejected && oversubscription_ > 0)
       engine.reported_load = kFullEngineLoad, engine.reported_at = last_report_at_ = now_;
-    if (closed.outcome == Outcome::kShed)
+    if (closed.outcome == Outcome::kRejected)
       engine.backlog_limit = std::max(
           std::ceil(mean_cost()), std::min(engine.backlog_limit, engine.backlog + backlog_of_others(engine))),
       engine.limit_delta = 0;
     // An engine on which an attempt timed out is at least that slow. Without progress messages the timeout
     // shows nothing of its speed, as the engine may have lost the attempt.
-    if (closed.outcome == Outcome::kExpired && settings_.progress.count() > 0)
+    if (closed.outcome == Outcome::kTimedOut && settings_.progress_interval.count() > 0)
       record_slowdown(engine, request, to_ms(closed.delay));
-    if (closed.outcome == Outcome::kDialFailed) add_failure_score(engine, kConnectFailureScore);
-    if (closed.outcome == Outcome::kDropped) add_failure_score(engine, kAttemptFailureScore);
+    if (closed.outcome == Outcome::kConnectFailed) add_failure_score(engine, kConnectFailureScore);
+    if (closed.outcome == Outcome::kConnectionLost) add_failure_score(engine, kAttemptFailureScore);
     // An engine may answer some queries and lose others: its loss rate, compared with the pool's, lowers its
     // weight in the draw.
-    const bool is_loss = closed.outcome == Outcome::kExpired || closed.outcome == Outcome::kAppError;
+    const bool is_loss = closed.outcome == Outcome::kTimedOut || closed.outcome == Outcome::kAppError;
     if (is_loss || closed.outcome == Outcome::kDelivered)
       engine.loss_rate.add(is_loss), pool_loss_rate_.add(is_loss);
-    if (closed.outcome == Outcome::kExpired && engine.last_response_at < attempt.sent_at)
+    if (closed.outcome == Outcome::kTimedOut && engine.last_response_at < attempt.sent_at)
       add_failure_score(engine, kAttemptFailureScore);
-    if (closed.ended) request.finished = true;
+    if (closed.request_answered) request.finished = true;
     if (request.finished) {
       remove_if_done(closed.id);
-    } else if (closed.outcome == Outcome::kUnused) {
+    } else if (closed.outcome == Outcome::kNotSent) {
       finish(closed.id, request, AnswerReason::kNotSent);
     } else if (now_ >= request.deadline) {
       finish(closed.id, request, AnswerReason::kDeadlinePassed);
-    } else if (request.route && request.route->pause.count() > 0) {
+    } else if (request.route && request.route->retry_delay.count() > 0) {
       pause_before_retry(closed.id, request);
     } else {
       dispatch(closed.id, request);
@@ -1238,7 +1249,7 @@
 
   // A timer is due: retries whose pause has ended, then the tick's housekeeping, and once per control period
   // the PI loop over all engines.
-  void on(const Alarm& alarm) {
+  void on(const TimerFired& alarm) {
     while (!paused_requests_.empty() && paused_requests_.begin()->first <= now_) {
       const RequestId id = paused_requests_.begin()->second;
       paused_requests_.erase(paused_requests_.begin());
@@ -1248,16 +1259,17 @@
     if (alarm.label != kTickTimerLabel || now_ < next_tick_at_) return;
     next_tick_at_ = now_ + kTickInterval;
     emit(Timer{next_tick_at_, kTickTimerLabel});
-    if (resubscribe_at_.count() > 0 && now_ >= resubscribe_at_ && settings_.registry == Registry::kAsk)
+    if (resubscribe_at_.count() > 0 && now_ >= resubscribe_at_ &&
+        settings_.registry_mode == RegistryMode::kSubscribe)
       resubscribe_at_ = Micros{0}, emit(Subscribe{true});
     if (pool_load_.weight > kPoolLoadDecay)
       pool_load_.sum *= 1 - kPoolLoadDecay, pool_load_.weight *= 1 - kPoolLoadDecay;
     std::erase_if(group_loads_, [this](const auto& entry) {
       return now_ - entry.second.updated_at > 4 * kGroupLoadWindow;
     });
-    while (!arrival_times_.empty() && arrival_times_.front() <= now_ - settings_.look_back)
+    while (!arrival_times_.empty() && arrival_times_.front() <= now_ - settings_.retry_budget_window)
       arrival_times_.pop_front();
-    while (!retry_times_.empty() && retry_times_.front() <= now_ - settings_.look_back)
+    while (!retry_times_.empty() && retry_times_.front() <= now_ - settings_.retry_budget_window)
       retry_times_.pop_front();
     check_silent_engines();
     // Queued requests near their deadline are answered while a refusal can still reach the client.
@@ -1293,7 +1305,7 @@
       if (!engine.known) continue;
       // Replacement engines come under new names all the time: an engine that is gone is forgotten, except
       // for its slot.
-      if (!engine.listed && engine.attempts_in_flight == 0 && engine.standing != Standing::kDraining) {
+      if (!engine.listed && engine.attempts_in_flight == 0 && engine.standing != EngineStatus::kDraining) {
         engine.known = false, engine.warm_groups.clear(), engine.group_held_until.clear(),
         engine.slow_start_sends.clear();
         continue;
@@ -1330,7 +1342,7 @@
   std::vector<bool> reserved_;            // by engine, for the table group of the draw under way
   std::map<RequestId, Request> requests_;
   std::map<std::uint64_t, KeyQueue> key_queues_;
-  std::vector<std::shared_ptr<const RouteFigures>> routes_;
+  std::vector<std::shared_ptr<const RouteParameters>> routes_;
   std::vector<std::vector<bool>> pools_;
   std::map<int, double> retry_budgets_;  // by the route's number: retries that may be made now
   std::multimap<Micros, RequestId> paused_requests_;
@@ -1361,7 +1373,7 @@
   impl_->handle(now, event, actions);
 }
 
-double Gateway::backlog_bound(int i) const {
+double Gateway::backlog_limit(int i) const {
   return impl_->find_engine(i) ? impl_->find_engine(i)->backlog_limit : 0;
 }
 double Gateway::backlog(int i) const { return impl_->find_engine(i) ? impl_->find_engine(i)->backlog : 0; }
--- a/src/net/directory.cpp
+++ b/src/net/directory.cpp
@@ -24,15 +24,15 @@
 // skipped.
 constexpr int kMaxBadReads = 3;
 
-const std::map<std::string, Standing> kStandings = {
-    {"active", Standing::kReady}, {"leaving", Standing::kDraining}, {"left", Standing::kGone}};
+const std::map<std::string, EngineStatus> kStandings = {
+    {"active", EngineStatus::kReady}, {"leaving", EngineStatus::kDraining}, {"left", EngineStatus::kGone}};
 
 struct MissingEvent : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 }  // namespace
 
-Directory::Directory(Strand strand, Coordinator& coordinator, EventLog& log, Tables& tables,
+Directory::Directory(Strand strand, Coordinator& coordinator, EventLog& log, NameTables& tables,
                      tcp::endpoint source, Micros forget_after, std::uint64_t seed)
     : strand_(strand),
       coordinator_(coordinator),
@@ -171,27 +171,27 @@
   Row read;
   const std::string name = row.at("name");
   if (name.empty()) throw std::runtime_error("a name is empty");
-  const Standing standing = choose(row.at("status").get<std::string>(), kStandings, "status");
+  const EngineStatus standing = parse_enum(row.at("status").get<std::string>(), kStandings, "status");
   const auto stored = rows_.find(tables_.engines.index(name));
-  if (standing != Standing::kReady && stored != rows_.end()) {
+  if (standing != EngineStatus::kReady && stored != rows_.end()) {
     // For an engine that leaves, the row only has to identify it: a drain must not be missed because of
     // another field.
     read = stored->second;
   } else {
-    read.entry.zone = tables_.zones.find(row.at("zone"), "zone");
-    read.entry.kind = tables_.kinds.find(row.at("type"), "type");
+    read.entry.zone = tables_.zones.index_or_throw(row.at("zone"), "zone");
+    read.entry.kind = tables_.kinds.index_or_throw(row.at("type"), "type");
     read.entry.cell = optional_field(row, "group", 0);
     read.entry.weight = optional_field(row, "weight", 1.0);
-    read.entry.came_up = Micros{optional_field<std::int64_t>(row, "since_ms", 0) * 1000};
+    read.entry.started_at = Micros{optional_field<std::int64_t>(row, "since_ms", 0) * 1000};
     read.change.address = row.at("address");
     if (!parse_address(read.change.address))
       throw std::runtime_error("invalid address: '" + read.change.address + "'");
   }
   // Done last, so that a row that is left out uses up no number.
   read.entry.engine = tables_.engines.add(name);
-  read.entry.name = name_hash(name);
-  read.entry.standing = standing;
-  read.change = {read.entry.engine, name, read.change.address, standing, read.entry.came_up};
+  read.entry.name_hash = name_hash(name);
+  read.entry.status = standing;
+  read.change = {read.entry.engine, name, read.change.address, standing, read.entry.started_at};
   return read;
 }
 
@@ -200,7 +200,7 @@
 void Directory::forget_gone_engines() {
   std::erase_if(gone_since_, [this](const auto& entry) {
     if (coordinator_.now() - entry.second <= forget_after_) return false;
-    tables_.engines.forget(entry.first);
+    tables_.engines.remove(entry.first);
     rows_.erase(entry.first);
     return true;
   });
@@ -239,15 +239,15 @@
     log_.line("rows of event " + std::to_string(index) +
               " left out besides: " + std::to_string(left_out - kMaxRowLogLines));
   // Engines that are not in a full list are gone.
-  for (const auto& [name, engine] : tables_.engines.known()) {
+  for (const auto& [name, engine] : tables_.engines.by_name()) {
     if (!full || listed.contains(engine)) continue;
     const EngineChange& previous = rows_[engine].change;
-    changes.push_back({engine, name, previous.address, Standing::kGone, previous.started_at});
+    changes.push_back({engine, name, previous.address, EngineStatus::kGone, previous.started_at});
   }
   for (const EngineChange& change : changes) {
-    if (change.standing == Standing::kGone) {
+    if (change.standing == EngineStatus::kGone) {
       gone_since_.try_emplace(change.engine, coordinator_.now());
-      rows_[change.engine].change.standing = Standing::kGone;
+      rows_[change.engine].change.standing = EngineStatus::kGone;
     } else {
       gone_since_.erase(change.engine);
     }
--- a/src/net/directory.h
+++ b/src/net/directory.h
@@ -19,7 +19,7 @@
  public:
   // The number of an engine that has been gone for longer than `forget_after` is reused: neither a request
   // nor the module may refer to it any more by then.
-  Directory(Strand strand, Coordinator& coordinator, EventLog& log, Tables& tables, tcp::endpoint source,
+  Directory(Strand strand, Coordinator& coordinator, EventLog& log, NameTables& tables, tcp::endpoint source,
             Micros forget_after, std::uint64_t seed);
 
   // Applies the events that the configuration holds for the start.
@@ -45,7 +45,7 @@
   Strand strand_;
   Coordinator& coordinator_;
   EventLog& log_;
-  Tables& tables_;
+  NameTables& tables_;
   tcp::endpoint source_;
   tcp::socket socket_;
   boost::asio::steady_timer silence_timer_, reconnect_timer_;
--- a/src/net/engine_pool.cpp
+++ b/src/net/engine_pool.cpp
@@ -180,7 +180,8 @@
     }
     for (const std::uint64_t number : timed_out) finish_probe(number, false, {});
     std::erase_if(retired_until_, [now](const auto& entry) { return now > entry.second; });
-    const bool engine_gone = pool_.engines_[static_cast<std::size_t>(engine_)].standing == Standing::kGone;
+    const bool engine_gone =
+        pool_.engines_[static_cast<std::size_t>(engine_)].standing == EngineStatus::kGone;
     if (idle() && connected_ && (engine_gone || idle_fraction() > kMaxIdleFraction)) return close({});
     if (partial_since_.count() > 0 && now - partial_since_ > kPartialAnswerTimeout)
       return close_untrusted("incomplete answer not continued in time");
@@ -225,8 +226,8 @@
       // What the engine cannot have received completely never ran. Whether the others ran is unknown.
       const bool unwritten = !connected_ || out_.contains(pending.tag);
       const Outcome lost_outcome =
-          close_cause_ == EndCause::kMalformedAnswer ? Outcome::kAppError : Outcome::kDropped;
-      report_end(id, pending, unwritten ? Outcome::kDialFailed : lost_outcome,
+          close_cause_ == EndCause::kMalformedAnswer ? Outcome::kAppError : Outcome::kConnectionLost;
+      report_end(id, pending, unwritten ? Outcome::kConnectFailed : lost_outcome,
                  connected_ ? close_cause_ : EndCause::kNoConnection, {}, {});
     }
     const auto probes = std::exchange(probes_, {});
@@ -350,7 +351,7 @@
       case AnswerKind::kStale:
         // An acknowledged attempt has run, so this answer cannot prove that it did not.
         if (pending.page_count > 0) return false;
-        finish_attempt(at, Outcome::kShed,
+        finish_attempt(at, Outcome::kRejected,
                        answer.kind == AnswerKind::kAgain ? EndCause::kEngineFull : EndCause::kEngineStale,
                        answer.report);
         return true;
@@ -375,11 +376,11 @@
   }
 
   void report_note(RequestId id, const PendingAttempt& pending, const EngineAnswer& answer) {
-    Note note{id, pending.attempt, engine_, Topic::kProgress, answer.note_value};
+    ProgressReport note{id, pending.attempt, engine_, ProgressTopic::kProgress, answer.note_value};
     if (answer.note_kind == "overflow") {
-      note.topic = Topic::kSpills;
+      note.topic = ProgressTopic::kSpill;
     } else if (answer.note_kind == "queued") {
-      note.topic = Topic::kWaits;
+      note.topic = ProgressTopic::kWaiting;
     } else if (answer.note_kind != "pct") {
       return;
     }
@@ -494,8 +495,8 @@
   const bool address_changed = engine.address != change.address;
   const auto connections = engine.connections;
   for (const auto& connection : connections) {
-    if (change.standing != Standing::kReady) connection->withdraw_unsent();
-    if (change.standing == Standing::kGone && connection->idle()) {
+    if (change.standing != EngineStatus::kReady) connection->withdraw_unsent();
+    if (change.standing == EngineStatus::kGone && connection->idle()) {
       connection->close({});
       continue;
     }
@@ -513,7 +514,7 @@
 
 bool EnginePool::runs_at_most_once(const Query& query) const {
   const auto& classes = coordinator_.settings().classes;
-  return classes[static_cast<std::size_t>(query.cls)].effect == Effect::kOnce;
+  return classes[static_cast<std::size_t>(query.cls)].idempotency == Idempotency::kNone;
 }
 
 // An attempt gets a connection of its own while there are enough of them: a corrupt answer, a cut or a reset
@@ -559,10 +560,11 @@
   std::shared_ptr<Connection> oldest_spare, oldest_sole;
   for (std::size_t i = 0; i < engines_.size(); ++i) {
     const Engine& engine = engines_[i];
-    if (i != number && engine.standing == Standing::kReady && engine.connections.empty()) ++reserved;
+    if (i != number && engine.standing == EngineStatus::kReady && engine.connections.empty()) ++reserved;
     for (const auto& connection : engine.connections) {
       if (!connection->idle()) continue;
-      const bool spare = i == number || engine.connections.size() > 1 || engine.standing != Standing::kReady;
+      const bool spare =
+          i == number || engine.connections.size() > 1 || engine.standing != EngineStatus::kReady;
       std::shared_ptr<Connection>& oldest = spare ? oldest_spare : oldest_sole;
       if (!oldest || connection->last_used_at() < oldest->last_used_at()) oldest = connection;
     }
@@ -577,7 +579,7 @@
 
 void EnginePool::send(const Dispatch& dispatch) {
   const auto index = static_cast<std::size_t>(dispatch.engine);
-  const bool available = index < engines_.size() && engines_[index].standing == Standing::kReady;
+  const bool available = index < engines_.size() && engines_[index].standing == EngineStatus::kReady;
   const auto connection =
       available ? pick_connection(dispatch.engine, dispatch.query.id, runs_at_most_once(dispatch.query))
                 : nullptr;
@@ -588,7 +590,7 @@
 
 void EnginePool::end_unsent_attempt(RequestId id, int attempt, EndCause cause) {
   connection_by_request_.erase(id);
-  coordinator_.attempt_ended({id, attempt, Outcome::kDialFailed, cause, {}, {}});
+  coordinator_.attempt_ended({id, attempt, Outcome::kConnectFailed, cause, {}, {}});
 }
 
 void EnginePool::cancel(RequestId id, int attempt) {
--- a/src/net/engine_pool.h
+++ b/src/net/engine_pool.h
@@ -43,7 +43,7 @@
   struct Engine {
     std::string name, address;
     std::optional<tcp::endpoint> endpoint;
-    Standing standing{Standing::kGone};
+    EngineStatus standing{EngineStatus::kGone};
     Micros started_at{0};
     std::vector<std::shared_ptr<Connection>> connections;
   };
--- a/src/net/front.cpp
+++ b/src/net/front.cpp
@@ -84,7 +84,7 @@
   std::unordered_map<std::int32_t, RequestId> open_calls_;
 };
 
-ThriftFront::ThriftFront(Strand strand, Coordinator& coordinator, EventLog& log, const Tables& tables,
+ThriftFront::ThriftFront(Strand strand, Coordinator& coordinator, EventLog& log, const NameTables& tables,
                          Limits limits)
     : FramedServer(strand, coordinator, log, limits),
       tables_(tables),
--- a/src/net/query_fields.cpp
+++ b/src/net/query_fields.cpp
@@ -9,7 +9,7 @@
 constexpr std::int64_t kMaxLimitMs = 1'000'000'000;
 }  // namespace
 
-const char* read_query(const thrift::Fields& fields, const Tables& tables, Coordinator& coordinator,
+const char* read_query(const thrift::Fields& fields, const NameTables& tables, Coordinator& coordinator,
                        Query& query) {
   std::optional<RequestId> id;
   std::optional<std::int64_t> limit_ms;
--- a/src/net/query_fields.h
+++ b/src/net/query_fields.h
@@ -9,7 +9,7 @@
 
 // Fills in the query except for its ticket and statement. Returns null if the query is valid, else what is
 // wrong with it, as text for the client.
-const char* read_query(const thrift::Fields& fields, const Tables& tables, Coordinator& coordinator,
+const char* read_query(const thrift::Fields& fields, const NameTables& tables, Coordinator& coordinator,
                        Query& query);
 
 // The value of the field, or empty if it is absent.
--- a/src/operator.cpp
+++ b/src/operator.cpp
@@ -63,7 +63,8 @@
   return conf;
 }
 
-routes::RouteSet resolve_routes(const OperatorConf& conf, const Settings& settings, const Tables& tables) {
+routes::RouteSet resolve_routes(const OperatorConf& conf, const Settings& settings,
+                                const NameTables& tables) {
   std::vector<routes::Wrong> wrong;
   routes::RouteSet set = routes::checked(conf.routes, settings, tables, wrong);
   std::vector<conf::Fault> faults;
--- a/src/operator.h
+++ b/src/operator.h
@@ -24,7 +24,7 @@
 
 // Resolves the routes and checks them against the platform's settings. Throws std::runtime_error that lists
 // all errors.
-routes::RouteSet resolve_routes(const OperatorConf& conf, const Settings& settings, const Tables& tables);
+routes::RouteSet resolve_routes(const OperatorConf& conf, const Settings& settings, const NameTables& tables);
 
 // Registers the blocks of all subsystems; applying a document fills `into`.
 void register_blocks(conf::Schema& schema, OperatorConf& into);
--- a/tests/area_test.cpp
+++ b/tests/area_test.cpp
@@ -16,14 +16,14 @@
   s.classes = {{.objective = 3s,
                 .aim_stretch = 2.5,
                 .hard_limit = 25s,
-                .effect = Effect::kOnce,
-                .load = true,
+                .idempotency = Idempotency::kNone,
+                .is_load = true,
                 .threads = 2},
                {.objective = 800ms, .aim_stretch = 2, .hard_limit = 4s, .yields_to_load = true}};
-  s.gateways = gateways, s.own_number = gateway_number;
+  s.gateways = gateways, s.own_index = gateway_number;
   s.kinds = {{.cores = 64}};
   s.own_zone = -1, s.zone_count = 1;
-  s.retry_after = true, s.max_retry_after = 5s;
+  s.may_send_retry_after = true, s.max_retry_after = 5s;
   return s;
 }
 
@@ -35,12 +35,12 @@
     update_engine_list();
   }
   void update_engine_list(const std::set<int>& without = {}, const std::set<int>& starting = {}) {
-    ListNews news{.mode = ListMode::kFull, .entries = {}};
+    ListUpdate news{.mode = ListMode::kFull, .entries = {}};
     for (std::size_t i = 0; i < names_.size(); ++i) {
       if (without.contains(names_[i])) continue;
       EngineEntry entry{.engine = static_cast<int>(i)};
-      entry.name = 0x5bd1e995u * static_cast<std::uint64_t>(names_[i] + 1);
-      if (starting.contains(names_[i])) entry.came_up = script.now;
+      entry.name_hash = 0x5bd1e995u * static_cast<std::uint64_t>(names_[i] + 1);
+      if (starting.contains(names_[i])) entry.started_at = script.now;
       news.entries.push_back(entry);
     }
     script.feed(news);
@@ -49,9 +49,9 @@
   // refused.
   int run_query(int cls, int group, double work) {
     const RequestId id = next_id_++;
-    script.feed(Arrival{.id = id, .cls = cls, .left = 20s, .estimate_ms = work, .group = group});
+    script.feed(Arrival{.id = id, .cls = cls, .remaining = 20s, .estimate_ms = work, .table_group = group});
     if (script.count<Refuse>() == 1) return -1;
-    const int engine = script.at.at(id);
+    const int engine = script.engine_of.at(id);
     script.close(id, Outcome::kDelivered,
                  Micros{static_cast<std::int64_t>(work * 1000 / (cls == kLoad ? 2 : 1))}, work);
     return names_[static_cast<std::size_t>(engine)];
@@ -62,12 +62,12 @@
     std::set<int> used;
     for (int n = 0; n < 10 * seconds; ++n) {
       used.insert(run_query(kLoad, group, mean_held * 200));
-      script.wait(100ms);
+      script.advance(100ms);
     }
     used.erase(-1);
     return used;
   }
-  Script script;
+  GatewayFixture script;
 
  private:
   std::vector<int> names_;
@@ -121,7 +121,7 @@
   for (int n = 0; n < 400; ++n) {
     on_own_group += reserved.contains(fixture.run_query(kLookup, 5, 20));
     on_other_group += reserved.contains(fixture.run_query(kLookup, 6, 20));
-    fixture.script.wait(10ms);
+    fixture.script.advance(10ms);
   }
   EXPECT_LT(on_own_group, on_other_group / 2);
   EXPECT_GE(on_other_group, 40);
@@ -140,8 +140,8 @@
       (is_admitted ? admitted_work : refused_work) += work_ms;
       ++(is_admitted ? admitted_loads : refused_loads);
       if (is_admitted) held_ms += work_ms / 2;
-      EXPECT_TRUE(is_admitted || fixture.script.first<Refuse>()->wait > 0us);
-      fixture.script.wait(20ms);
+      EXPECT_TRUE(is_admitted || fixture.script.first<Refuse>()->retry_after > 0us);
+      fixture.script.advance(20ms);
     }
     // The allowance of four engines for a minute, plus the full one at the start, divided among the gateways.
     EXPECT_LE(held_ms, (60'000 + 4000) * 4 * 0.9 / gateways + 10'000);
@@ -154,9 +154,9 @@
 
 TEST(GroupLoads, ALoadOfAnyLengthIsAdmittedWhileNoOtherRuns) {
   NamedEnginesFixture fixture(settings_with_loads(3), {0, 1, 2, 3, 4});
-  fixture.script.wait(1s);
+  fixture.script.advance(1s);
   EXPECT_GE(fixture.run_query(kLoad, 2, 40'000), 0);
-  fixture.script.wait(60s);
+  fixture.script.advance(60s);
   EXPECT_GE(fixture.run_query(kLoad, 2, 40'000), 0);
 }
 
@@ -174,7 +174,7 @@
     // The engine is back, in slow start: it gets no group's loads until that is over, and all its own after.
     fixture.update_engine_list({}, {3});
     EXPECT_EQ(fixture.run_loads(group, 0.1, 6), std::set<int>{engine_after_loss}) << group;
-    fixture.script.wait(16s);
+    fixture.script.advance(16s);
     EXPECT_EQ(fixture.run_loads(group, 0.1, 6), std::set<int>{first_engine}) << group;
   }
   EXPECT_GE(moved_groups, 1);
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -12,12 +12,12 @@
 Settings fleet_settings() {
   Settings settings = basic_settings();
   settings.gateways = 300;
-  settings.reports = Reports::kPiggyback;
-  settings.progress = 500ms;
+  settings.report_mode = ReportMode::kPiggyback;
+  settings.progress_interval = 500ms;
   return settings;
 }
 
-void answer(Script& script, RequestId id, const LoadReport& report, Micros delay = 100ms) {
+void answer(GatewayFixture& script, RequestId id, const LoadReport& report, Micros delay = 100ms) {
   script.answer(id, delay, report);
 }
 
@@ -26,13 +26,13 @@
 // idle its cores.
 TEST(Fleet, QueriesInHandCountAsLoadEvenWhereCoresAreIdle) {
   for (const auto& [in_flight, admitted] : std::vector<std::pair<double, int>>{{60, 0}, {1, 1}}) {
-    Script script(fleet_settings(), 20);
+    GatewayFixture script(fleet_settings(), 20);
     RequestId id = 0;
     for (; id < 30; ++id) {
       script.arrive(id);
       if (script.count<Send>() == 0) continue;
-      script.wait(100ms);
-      answer(script, id, {.utilisation = 0.2, .in_flight = in_flight});
+      script.advance(100ms);
+      answer(script, id, {.cpu_utilisation = 0.2, .in_flight = in_flight});
     }
     script.arrive(++id, 1000);
     EXPECT_EQ(script.count<Send>(), admitted) << in_flight << " in hand";
@@ -44,15 +44,16 @@
 // far. Each gateway retried each of its queries four times, and the fleet did four times the work without an
 // answer.
 TEST(Fleet, RetriesOfSlowAttemptsAreLimitedByAnswers) {
-  Script script(fleet_settings(), 20);
+  GatewayFixture script(fleet_settings(), 20);
   constexpr int kSlowQueries = 12;
   for (RequestId id = 0; id < kSlowQueries; ++id) script.arrive(id, 100, 0, 20s);
   const auto report_slow_progress = [&](RequestId id) {
-    for (int attempt = 0; attempt < script.attempts[id]; ++attempt)
-      script.feed(Note{.id = id, .attempt = attempt, .engine = script.at[id], .amount = 0.01});
+    for (int attempt = 0; attempt < script.attempt_count[id]; ++attempt)
+      script.feed(
+          ProgressReport{.id = id, .attempt = attempt, .engine = script.engine_of[id], .value = 0.01});
   };
   int cancelled = 0;
-  script.wait(500ms);
+  script.advance(500ms);
   for (RequestId id = 0; id < kSlowQueries; ++id) {
     report_slow_progress(id);
     cancelled += script.count<Cancel>();
@@ -61,8 +62,8 @@
   // Ten answers earn credit for one more retry.
   for (RequestId id = 100; id < 110; ++id) {
     script.arrive(id);
-    script.wait(1ms);
-    answer(script, id, {.utilisation = 0.2, .in_flight = 1.0}, 1ms);
+    script.advance(1ms);
+    answer(script, id, {.cpu_utilisation = 0.2, .in_flight = 1.0}, 1ms);
   }
   cancelled = 0;
   for (RequestId id = 0; id < kSlowQueries; ++id) {
@@ -74,12 +75,12 @@
 
 // Sends queries and answers them, each with a report of so many queries in hand, so that the gateway takes
 // this for the engines' load. Returns the next free id.
-RequestId run_answered_queries(Script& script, RequestId id, int answers, double in_flight) {
+RequestId run_answered_queries(GatewayFixture& script, RequestId id, int answers, double in_flight) {
   for (int i = 0; i < answers; ++i, ++id) {
     script.arrive(id);
     if (script.count<Send>() == 0) continue;
-    script.wait(20ms);
-    answer(script, id, {.utilisation = 0.6, .in_flight = in_flight}, 20ms);
+    script.advance(20ms);
+    answer(script, id, {.cpu_utilisation = 0.6, .in_flight = in_flight}, 20ms);
   }
   return id;
 }
@@ -91,8 +92,8 @@
   for (const double in_flight : {4.0, 12.0, 14.0, 16.0, 40.0}) {
     for (int gateway_number = 0; gateway_number < 300; ++gateway_number) {
       Settings settings = fleet_settings();
-      settings.own_number = gateway_number;
-      Script script(settings, 40, static_cast<std::uint64_t>(gateway_number) + 1);
+      settings.own_index = gateway_number;
+      GatewayFixture script(settings, 40, static_cast<std::uint64_t>(gateway_number) + 1);
       const RequestId id = run_answered_queries(script, 0, 30, in_flight);
       script.arrive(id);
       admitted[in_flight] += script.count<Send>();
@@ -111,14 +112,14 @@
 TEST(Fleet, RecentReportsOutweighOldOnes) {
   int admitted = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    Script script(fleet_settings(), 40, seed);
+    GatewayFixture script(fleet_settings(), 40, seed);
     RequestId id = run_answered_queries(script, 0, 400, 1);
-    script.wait(5s);
+    script.advance(5s);
     std::vector<RequestId> pending;
     for (int i = 0; i < 6; ++i) script.arrive(++id), pending.push_back(id);
-    script.wait(50ms);
+    script.advance(50ms);
     for (const RequestId pending_id : pending)
-      answer(script, pending_id, {.utilisation = 0.2, .in_flight = 60.0}, 50ms);
+      answer(script, pending_id, {.cpu_utilisation = 0.2, .in_flight = 60.0}, 50ms);
     script.arrive(++id);
     admitted += script.count<Send>();
   }
@@ -129,24 +130,27 @@
 // free for queries that can. A fleet that goes on working for clients that have given up never leaves an
 // overload.
 TEST(Fleet, AHopelessAttemptIsCancelledAndAnsweredAtOnce) {
-  for (const Effect effect : {Effect::kRepeatable, Effect::kOnce}) {
+  for (const Idempotency effect : {Idempotency::kIdempotent, Idempotency::kNone}) {
     Settings settings = fleet_settings();
-    settings.classes[0].effect = effect;
-    settings.most_tries = 1;
-    Script script(settings, 20);
+    settings.classes[0].idempotency = effect;
+    settings.max_attempts = 1;
+    GatewayFixture script(settings, 20);
     script.arrive(1, 100, 0, 4s);
     ASSERT_EQ(script.count<Send>(), 1);
     // No attempt timeout: missing progress messages and slow progress show a lost attempt instead.
-    EXPECT_EQ(script.first<Send>()->patience, 0s);
-    script.wait(1s);
-    script.feed(Note{.id = 1, .attempt = 0, .engine = script.at[1], .amount = 0.2});
+    EXPECT_EQ(script.first<Send>()->timeout, 0s);
+    script.advance(1s);
+    script.feed(ProgressReport{.id = 1, .attempt = 0, .engine = script.engine_of[1], .value = 0.2});
     EXPECT_TRUE(script.actions.empty());
-    script.feed(Note{.id = 1, .attempt = 0, .engine = script.at[1], .amount = 0.01});
+    script.feed(ProgressReport{.id = 1, .attempt = 0, .engine = script.engine_of[1], .value = 0.01});
     EXPECT_EQ(script.count<Cancel>(), 1);
-    EXPECT_EQ(script.count<Refuse>(), effect == Effect::kRepeatable ? 1 : 0);
-    EXPECT_EQ(script.count<Fail>(), effect == Effect::kOnce ? 1 : 0);
-    script.feed(
-        Closed{.id = 1, .attempt = 0, .engine = script.at[1], .outcome = Outcome::kRevoked, .ended = true});
+    EXPECT_EQ(script.count<Refuse>(), effect == Idempotency::kIdempotent ? 1 : 0);
+    EXPECT_EQ(script.count<Fail>(), effect == Idempotency::kNone ? 1 : 0);
+    script.feed(AttemptClosed{.id = 1,
+                              .attempt = 0,
+                              .engine = script.engine_of[1],
+                              .outcome = Outcome::kCancelled,
+                              .request_answered = true});
     EXPECT_TRUE(script.actions.empty());
   }
 }
@@ -161,13 +165,13 @@
   for (const bool restarted : {false, true}) {
     Settings settings = fleet_settings();
     settings.overload_factor = 4;
-    settings.fall_after = 1500ms;
-    std::vector<std::unique_ptr<Script>> scripts;
+    settings.overload_window = 1500ms;
+    std::vector<std::unique_ptr<GatewayFixture>> scripts;
     std::vector<double> traffic_shares;
     for (int gateway_number = 0; gateway_number < kGateways; ++gateway_number) {
-      settings.own_number = gateway_number;
-      scripts.push_back(
-          std::make_unique<Script>(settings, kEngines, static_cast<std::uint64_t>(gateway_number) + 1));
+      settings.own_index = gateway_number;
+      scripts.push_back(std::make_unique<GatewayFixture>(settings, kEngines,
+                                                         static_cast<std::uint64_t>(gateway_number) + 1));
       traffic_shares.push_back(gateway_number % 10 == 0 ? 5 : gateway_number % 3 == 0 ? 1 : 0.5);
     }
     std::mt19937_64 random(7);
@@ -187,42 +191,43 @@
         for (int gateway_number = 0; gateway_number < kGateways; ++gateway_number) {
           auto& script = scripts[static_cast<std::size_t>(gateway_number)];
           if (restarted && gateway_number % 10 < 7) {
-            settings.own_number = gateway_number;
-            script = std::make_unique<Script>(settings, kEngines,
-                                              static_cast<std::uint64_t>(gateway_number) + 1000);
+            settings.own_index = gateway_number;
+            script = std::make_unique<GatewayFixture>(settings, kEngines,
+                                                      static_cast<std::uint64_t>(gateway_number) + 1000);
             script->now = now;
             std::erase_if(pending, [gateway_number](const PendingAnswer& entry) {
               return entry.gateway == gateway_number;
             });
           }
-          script->feed(ListNews{.mode = ListMode::kIncremental,
-                                .entries = {{.engine = kStartingEngine, .came_up = now}}});
+          script->feed(ListUpdate{.mode = ListMode::kIncremental,
+                                  .entries = {{.engine = kStartingEngine, .started_at = now}}});
         }
       }
-      for (auto& script : scripts) script->wait(now - script->now);
+      for (auto& script : scripts) script->advance(now - script->now);
       while (!pending.empty() && pending.front().answered_at <= now) {
-        Script& script = *scripts[static_cast<std::size_t>(pending.front().gateway)];
-        const bool starting = script.at[pending.front().id] == kStartingEngine;
+        GatewayFixture& script = *scripts[static_cast<std::size_t>(pending.front().gateway)];
+        const bool starting = script.engine_of[pending.front().id] == kStartingEngine;
         answer(script, pending.front().id,
-               {.utilisation = starting ? 0.2 : 0.6, .in_flight = starting ? 1.0 : 5.0});
+               {.cpu_utilisation = starting ? 0.2 : 0.6, .in_flight = starting ? 1.0 : 5.0});
         pending.pop_front();
       }
       for (int i = 0; i < 20; ++i) {
         const int gateway = draw_gateway(random);
-        Script& script = *scripts[static_cast<std::size_t>(gateway)];
+        GatewayFixture& script = *scripts[static_cast<std::size_t>(gateway)];
         script.arrive(++next_id, kWorkMs);
         ++arrivals;
         if (script.count<Send>() == 0) continue;
         ++admitted;
         pending.push_back({now + 100ms, gateway, next_id});
-        if (script.at[next_id] == kStartingEngine && now >= started_at) sent_at.push_back(now);
+        if (script.engine_of[next_id] == kStartingEngine && now >= started_at) sent_at.push_back(now);
       }
     }
     // What the engine survives at the beginning of its slow start, for the length of one overload window.
-    const double budget = settings.overload_factor * settings.kinds[0].cores * settings.cold_from * 1500;
+    const double budget =
+        settings.overload_factor * settings.kinds[0].cores * settings.slow_start_share * 1500;
     std::size_t window_begin = 0;
     for (std::size_t window_end = 0; window_end < sent_at.size(); ++window_end) {
-      while (sent_at[window_end] - sent_at[window_begin] > settings.fall_after) ++window_begin;
+      while (sent_at[window_end] - sent_at[window_begin] > settings.overload_window) ++window_begin;
       EXPECT_LT(kWorkMs * static_cast<double>(window_end - window_begin + 1), budget) << restarted;
     }
     EXPECT_GT(sent_at.size(), 30u) << restarted;
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -670,7 +670,7 @@
   CHECK(consumed == whole.size());
   CHECK(answer.body == "a\r\n");
   CHECK(answer.page_count == 2);
-  CHECK(answer.report.utilisation == 0.61);
+  CHECK(answer.report.cpu_utilisation == 0.61);
   CHECK(answer.report.in_flight == 7.0);
   CHECK(parse_answer(kId + " ACK - x\r\n", answer, consumed) == ParseStatus::kMalformed);
   CHECK(parse_answer(kId + " ACK - 1\r\nab\r\n", answer, consumed) == ParseStatus::kMalformed);
@@ -678,10 +678,10 @@
 
 // Guards against tables that grow with every engine ever listed.
 TEST_CASE("the number of a forgotten engine is given to the next new one") {
-  Names names;
+  NameTable names;
   names.add("a");
   names.add("b");
-  names.forget(0);
+  names.remove(0);
   CHECK(names.index("a") == -1);
   CHECK(names.add("b") == 1);
   CHECK(names.add("c") == 0);
