--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -22,27 +22,27 @@
 using namespace steprail::bench;
 using nlohmann::json;
 using std::chrono::milliseconds;
-using By = EdgeClient::By;
+using Transport = EdgeClient::Transport;
 
-json simulated(bool quick) {
+json run_simulations(bool quick) {
   const std::uint64_t seeds = quick ? 400 : 4000;
-  std::uint64_t requests = 0, answers = 0, twice = 0, faults = 0;
+  std::uint64_t requests = 0, answers = 0, loads_run_twice = 0, seeds_with_faults = 0;
   for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
     SimOptions options;
     options.seed = 500'000 + seed;
     options.durable = seed % 4 != 0;
     const SimResult result = simulate(options);
-    requests += result.requests, answers += result.answers, twice += result.loads_run_twice;
-    faults += !result.faults.empty();
+    requests += result.requests, answers += result.answers, loads_run_twice += result.loads_run_twice;
+    seeds_with_faults += !result.faults.empty();
   }
   return {{"answers_per_request", static_cast<double>(answers) / static_cast<double>(requests)},
-          {"loads_run_twice", twice},
+          {"loads_run_twice", loads_run_twice},
           {"requests_counted", requests},
-          {"seeds_with_faults", faults}};
+          {"seeds_with_faults", seeds_with_faults}};
 }
 
 // Sessions without a connection's buffers: the logic's own memory, by what the allocator hands out.
-json idle_sessions() {
+json measure_idle_sessions() {
   constexpr std::size_t kSessions = 10'000;
   edge::EdgeSettings settings;
   settings.gate.rate = 1e6;
@@ -66,112 +66,113 @@
 
 // Devices that all come back at once, in virtual time: how long the most urgent tenth waits, over one that
 // comes alone, for which a link's way there and back is all there is.
-json storm(bool quick) {
+json measure_reconnect_storm(bool quick) {
   const std::uint64_t devices = quick ? 2000 : 10'000;
   edge::EdgeSettings settings;
   edge::EdgeLogic logic(settings, edge::Sealer({}), {1}, 7, edge::Micros{0}, 0);
-  constexpr double kRoundTrip = 100'000;
+  constexpr double kRoundTripUs = 100'000;
   pcg32 random(5);
   struct Device {
-    std::int64_t comes{0}, deadline{0}, in{-1};
+    std::int64_t arrives_at{0}, deadline{0}, admitted_at{-1};
   };
-  std::vector<Device> all(devices + 1);
-  std::multimap<std::int64_t, std::uint64_t> due;
+  std::vector<Device> states(devices + 1);
+  std::multimap<std::int64_t, std::uint64_t> arrivals;
   for (std::uint64_t i = 1; i <= devices; ++i) {
-    all[i].deadline = 1'000'000 + random(30'000'000);
-    due.emplace(random(200'000), i);
+    states[i].deadline = 1'000'000 + random(30'000'000);
+    arrivals.emplace(random(200'000), i);
   }
-  std::map<std::uint64_t, std::uint64_t> whose;
-  std::uint64_t conn = 0, turned = 0, left = devices;
+  std::map<std::uint64_t, std::uint64_t> device_of;
+  std::uint64_t conn = 0, turned_away = 0, remaining = devices;
   std::vector<edge::Act> acts;
-  for (std::int64_t now = 0; left > 0 && now < 600'000'000; now += 10'000) {
-    while (!due.empty() && due.begin()->first <= now) {
-      const std::uint64_t i = due.begin()->second;
-      due.erase(due.begin());
-      whose[++conn] = i;
+  for (std::int64_t now = 0; remaining > 0 && now < 600'000'000; now += 10'000) {
+    while (!arrivals.empty() && arrivals.begin()->first <= now) {
+      const std::uint64_t i = arrivals.begin()->second;
+      arrivals.erase(arrivals.begin());
+      device_of[++conn] = i;
       logic.opened(conn, edge::Micros{now});
       edge::Frame hello;
       hello.type = edge::Frame::Type::kHello;
       hello.device = "d" + std::to_string(i);
-      hello.deadline_ms = std::max<std::int64_t>(0, (all[i].deadline - now) / 1000);
+      hello.deadline_ms = std::max<std::int64_t>(0, (states[i].deadline - now) / 1000);
       logic.heard(conn, hello, edge::Micros{now}, acts);
     }
     logic.advance(edge::Micros{now}, now, acts);
     for (const edge::Act& act : acts) {
       const auto* down = std::get_if<edge::ToDevice>(&act);
       if (down == nullptr) continue;
-      const auto at = whose.find(down->conn);
-      if (at == whose.end()) continue;
+      const auto at = device_of.find(down->conn);
+      if (at == device_of.end()) continue;
       if (down->frame.type == edge::Frame::Type::kWelcome) {
-        all[at->second].in = now;
-        --left;
+        states[at->second].admitted_at = now;
+        --remaining;
       } else if (down->frame.type == edge::Frame::Type::kLater) {
-        ++turned;
-        due.emplace(now + down->frame.later_ms * 1000 + static_cast<std::int64_t>(kRoundTrip), at->second);
+        ++turned_away;
+        arrivals.emplace(now + down->frame.later_ms * 1000 + static_cast<std::int64_t>(kRoundTripUs),
+                         at->second);
       } else {
         continue;
       }
       if (down->frame.type == edge::Frame::Type::kLater) logic.closed(at->first, edge::Micros{now}, acts);
-      whose.erase(at);
+      device_of.erase(at);
     }
     acts.clear();
   }
-  std::vector<double> waits, urgent;
+  std::vector<double> admission_times, urgent;
   for (std::uint64_t i = 1; i <= devices; ++i) {
-    waits.push_back(static_cast<double>(all[i].in) + kRoundTrip);
-    if (all[i].deadline < 4'000'000) urgent.push_back(waits.back());
+    admission_times.push_back(static_cast<double>(states[i].admitted_at) + kRoundTripUs);
+    if (states[i].deadline < 4'000'000) urgent.push_back(admission_times.back());
   }
-  const auto p99 = [](std::vector<double>& of) {
-    std::sort(of.begin(), of.end());
-    return of[of.size() * 99 / 100];
+  const auto p99 = [](std::vector<double>& values) {
+    std::sort(values.begin(), values.end());
+    return values[values.size() * 99 / 100];
   };
   return {{"storm_devices", devices},
-          {"storm_turned_away", turned},
-          {"storm_p99_over_uncontended", p99(waits) / kRoundTrip},
-          {"storm_urgent_median_over_uncontended", median(urgent) / kRoundTrip}};
+          {"storm_turned_away", turned_away},
+          {"storm_p99_over_uncontended", p99(admission_times) / kRoundTripUs},
+          {"storm_urgent_median_over_uncontended", median(urgent) / kRoundTripUs}};
 }
 
-std::string conf(const std::string& more = {}) {
+std::string site_conf(const std::string& more = {}) {
   return "spool {\n  listen 127.0.0.1:0\n  memory 64m\n  result-most 4m\n}\n"
          "edge {\n  listen 127.0.0.1:0\n  home one\n  rate 100000\n  burst 1000\n  heartbeat-least 200ms\n" +
          more + "}\n";
 }
 
-json ledger_cost(bool quick) {
+json measure_ledger_cost(bool quick) {
   Site::Options options;
   options.engines = 4;
   options.script->rows = 1;
-  options.conf = conf();
+  options.conf = site_conf();
   Site site(options);
   // In turn and several times, so that what warms up or slows down burdens both alike.
-  std::vector<double> cost[2];
+  std::vector<double> seconds_per_load[2];
   json out;
   const int rounds = quick ? 3 : 9;
   for (int run = 0; run < 2 * rounds; ++run) {
     const bool durable = run % 2 == 1;
     site.kill();
-    site.set_conf(conf(durable ? "  requests 256\n  ledger " +
-                                     site.folder.path("ledger" + std::to_string(run)) + " 64m\n"
-                               : "  requests 256\n"));
+    site.set_conf(site_conf(durable ? "  requests 256\n  ledger " +
+                                          site.folder.path("ledger" + std::to_string(run)) + " 64m\n"
+                                    : "  requests 256\n"));
     site.start();
     Device device("acme", "tablet");
-    EdgeClient client(site.io, device, site.server->edge_endpoint(), By::kWebSocketCbor);
+    EdgeClient client(site.io, device, site.server->edge_endpoint(), Transport::kWebSocketCbor);
     client.connect();
     // The coordinator has a thread of its own: it is not to wait for the stand-ins' turns.
     std::thread coordinator([&] { site.server->io().run(); });
-    const auto step = [&] { site.io.run_one_for(milliseconds(1)); };
-    while (!device.welcomed()) step();
+    const auto run_client_once = [&] { site.io.run_one_for(milliseconds(1)); };
+    while (!device.welcomed()) run_client_once();
     const std::size_t loads = quick ? 500 : 2000;
-    std::size_t asked = 0;
+    std::size_t sent = 0;
     const auto start = Time::now();
-    while (asked < loads || !device.idle()) {
-      while (asked < loads && device.open() < 128) {
-        client.ask("load", "insert into a_" + std::to_string(asked % 64) + ".t", 9000);
-        ++asked;
+    while (sent < loads || !device.idle()) {
+      while (sent < loads && device.open() < 128) {
+        client.send_request("load", "insert into a_" + std::to_string(sent % 64) + ".t", 9000);
+        ++sent;
       }
-      step();
+      run_client_once();
     }
-    cost[durable].push_back(seconds_since(start) / static_cast<double>(loads));
+    seconds_per_load[durable].push_back(seconds_since(start) / static_cast<double>(loads));
     site.server->io().stop();
     coordinator.join();
     for (const auto& [_, request] : device.requests()) {
@@ -184,24 +185,24 @@
           static_cast<double>(ledger->records()) / static_cast<double>(ledger->commits());
     }
   }
-  out["load_us_in_memory"] = median(cost[0]) * 1e6;
-  out["load_us_durable"] = median(cost[1]) * 1e6;
-  out["durable_load_over_memory"] = median(cost[1]) / median(cost[0]);
+  out["load_us_in_memory"] = median(seconds_per_load[0]) * 1e6;
+  out["load_us_durable"] = median(seconds_per_load[1]) * 1e6;
+  out["durable_load_over_memory"] = median(seconds_per_load[1]) / median(seconds_per_load[0]);
   return out;
 }
 
 // ---- Goodput ----
 
 // A link that is cut after so many bytes down, exponentially distributed; some cuts are black holes.
-LinkScript cut_link(std::uint64_t seed, double mean_bytes) {
+LinkScript link_script_with_cuts(std::uint64_t seed, double mean_bytes) {
   pcg32 random(seed);
   LinkScript script;
   script.up.delay = script.down.delay = milliseconds(2);
-  script.down.rate = 4'000'000;
+  script.down.bytes_per_second = 4'000'000;
   if (mean_bytes <= 0) return script;
-  const double u = (static_cast<double>(random()) + 1) / 4294967297.0;
-  script.down.at = 1 + static_cast<std::uint64_t>(-std::log(u) * mean_bytes);
-  if (random(20) == 0) script.down.how = LinkScript::How::kHole;
+  const double uniform = (static_cast<double>(random()) + 1) / 4294967297.0;
+  script.down.fault_after_bytes = 1 + static_cast<std::uint64_t>(-std::log(uniform) * mean_bytes);
+  if (random(20) == 0) script.down.fault = LinkScript::Fault::kBlackHole;
   return script;
 }
 
@@ -209,33 +210,34 @@
 // length of an answer on the wire: rows of answers that were whole within their limit. With sessions, and
 // without: there each connection begins anew and asks again, under the same key, so that the engine does not
 // run twice for it.
-double rows_in_time(double cuts_an_answer, bool sessions, bool quick, double answer_bytes) {
+double complete_rows_delivered(double cuts_per_answer, bool sessions, bool quick, double answer_bytes) {
   Site::Options options;
   options.engines = 2;
   options.script->rows = 600;  // 120 KB
   options.script->row_bytes = 200;
-  options.conf = conf("  session-keep 60s\n  connections 300\n");
+  options.conf = site_conf("  session-keep 60s\n  connections 300\n");
   Site site(options);
   const int devices = quick ? 6 : 12;
   std::vector<std::unique_ptr<Proxy>> proxies;
   std::vector<std::unique_ptr<Device>> tablets;
   std::vector<std::unique_ptr<EdgeClient>> clients;
-  const double mean = cuts_an_answer > 0 ? answer_bytes / cuts_an_answer : 0;
+  const double mean_bytes = cuts_per_answer > 0 ? answer_bytes / cuts_per_answer : 0;
   for (int i = 0; i < devices; ++i) {
-    proxies.push_back(std::make_unique<Proxy>(
-        site.io, site.server->edge_endpoint(),
-        [i, mean](std::size_t n) { return cut_link(static_cast<std::uint64_t>(i) * 7919 + n, mean); }));
+    proxies.push_back(
+        std::make_unique<Proxy>(site.io, site.server->edge_endpoint(), [i, mean_bytes](std::size_t n) {
+          return link_script_with_cuts(static_cast<std::uint64_t>(i) * 7919 + n, mean_bytes);
+        }));
     tablets.push_back(std::make_unique<Device>("acme", "tablet" + std::to_string(i)));
     tablets.back()->plain = !sessions;
     clients.push_back(std::make_unique<EdgeClient>(site.io, *tablets.back(), proxies.back()->endpoint(),
-                                                   By::kWebSocketCbor));
-    clients.back()->set_patience(milliseconds(300));
+                                                   Transport::kWebSocketCbor));
+    clients.back()->set_silence_timeout(milliseconds(300));
     clients.back()->connect();
   }
   const auto end = Time::now() + milliseconds(quick ? 1200 : 5000);
   while (Time::now() < end) {
     for (std::size_t i = 0; i < clients.size(); ++i) {
-      if (tablets[i]->idle()) clients[i]->ask("report", "select 1 from a_1.t", 4000);
+      if (tablets[i]->idle()) clients[i]->send_request("report", "select 1 from a_1.t", 4000);
     }
     site.run_for(milliseconds(1));
   }
@@ -249,33 +251,38 @@
   return rows;
 }
 
-json goodput(bool quick) {
+json measure_goodput(bool quick) {
   // What one answer is on the wire, its welcome and its frames included.
-  double bytes = 0;
+  double answer_bytes = 0;
   {
     Site::Options options;
     options.script->rows = 600;
     options.script->row_bytes = 200;
-    options.conf = conf();
+    options.conf = site_conf();
     Site site(options);
     Proxy proxy(site.io, site.server->edge_endpoint(), [](std::size_t) { return LinkScript{}; });
     Device device("acme", "tablet");
-    EdgeClient client(site.io, device, proxy.endpoint(), By::kWebSocketCbor);
+    EdgeClient client(site.io, device, proxy.endpoint(), Transport::kWebSocketCbor);
     client.connect();
-    client.ask("report", "select 1 from a_1.t", 4000);
+    client.send_request("report", "select 1 from a_1.t", 4000);
     if (!site.until([&] { return device.idle(); })) std::abort();
-    bytes = static_cast<double>(proxy.bytes_down());
+    answer_bytes = static_cast<double>(proxy.bytes_down());
   }
-  json table = json::array();
-  double worst = 0;
+  json by_link = json::array();
+  double worst_link_ratio = 0;
   for (const double cuts : {0.0, 0.5, 1.0, 2.0, 3.0, 4.0}) {
-    const double plain = rows_in_time(cuts, false, quick, bytes),
-                 with = rows_in_time(cuts, true, quick, bytes);
-    worst = with / std::max(plain, 600.0);  // one answer, where plain delivers none
-    table.push_back(
-        {{"cuts_an_answer", cuts}, {"plain_rows", plain}, {"session_rows", with}, {"ratio", worst}});
+    const double rows_without_sessions = complete_rows_delivered(cuts, false, quick, answer_bytes),
+                 rows_with_sessions = complete_rows_delivered(cuts, true, quick, answer_bytes);
+    worst_link_ratio =
+        rows_with_sessions / std::max(rows_without_sessions, 600.0);  // one answer, where plain delivers none
+    by_link.push_back({{"cuts_an_answer", cuts},
+                       {"plain_rows", rows_without_sessions},
+                       {"session_rows", rows_with_sessions},
+                       {"ratio", worst_link_ratio}});
   }
-  return {{"goodput_answer_bytes", bytes}, {"goodput_by_link", table}, {"goodput_over_plain", worst}};
+  return {{"goodput_answer_bytes", answer_bytes},
+          {"goodput_by_link", by_link},
+          {"goodput_over_plain", worst_link_ratio}};
 }
 
 }  // namespace
@@ -298,12 +305,12 @@
     out.update(found);
     std::cout << "  " << found.dump() << std::endl;
   };
-  part("simulated", [&] { return simulated(quick); });
-  part("idle", [] { return idle_sessions(); });
-  part("storm", [&] { return storm(quick); });
-  part("ledger", [&] { return ledger_cost(quick); });
-  part("goodput", [&] { return goodput(quick); });
-  part("cost", [&] { return ordinary_cost(program, before, ::conf(), quick); });
+  part("simulated", [&] { return run_simulations(quick); });
+  part("idle", [] { return measure_idle_sessions(); });
+  part("storm", [&] { return measure_reconnect_storm(quick); });
+  part("ledger", [&] { return measure_ledger_cost(quick); });
+  part("goodput", [&] { return measure_goodput(quick); });
+  part("cost", [&] { return ordinary_cost(program, before, ::site_conf(), quick); });
   std::cout << out.dump() << std::endl;
   return 0;
 }
--- a/src/edge/codec.cpp
+++ b/src/edge/codec.cpp
@@ -7,33 +7,34 @@
 namespace {
 
 using nlohmann::json;
-using Type = Frame::Type;
+using FrameType = Frame::Type;
 
-constexpr std::pair<const char*, Type> kTypes[] = {
-    {"hello", Type::kHello}, {"welcome", Type::kWelcome}, {"msg", Type::kMessage}, {"ack", Type::kAck},
-    {"ping", Type::kPing},   {"pong", Type::kPong},       {"later", Type::kLater}, {"moved", Type::kMoved},
-    {"error", Type::kError}, {"bye", Type::kBye}};
-constexpr std::pair<const char*, Body::Kind> kKinds[] = {{"request", Body::Kind::kRequest},
-                                                         {"interrupt", Body::Kind::kInterrupt},
-                                                         {"answer", Body::Kind::kAnswer},
-                                                         {"rows", Body::Kind::kRows},
-                                                         {"notice", Body::Kind::kNotice}};
-constexpr std::pair<const char*, Outcome::How> kHows[] = {{"served", Outcome::How::kServed},
-                                                          {"refused", Outcome::How::kRefused},
-                                                          {"failed", Outcome::How::kFailed},
-                                                          {"unknown", Outcome::How::kUnknown}};
+constexpr std::pair<const char*, FrameType> kFrameTypes[] = {
+    {"hello", FrameType::kHello}, {"welcome", FrameType::kWelcome}, {"msg", FrameType::kMessage},
+    {"ack", FrameType::kAck},     {"ping", FrameType::kPing},       {"pong", FrameType::kPong},
+    {"later", FrameType::kLater}, {"moved", FrameType::kMoved},     {"error", FrameType::kError},
+    {"bye", FrameType::kBye}};
+constexpr std::pair<const char*, Body::Kind> kBodyKinds[] = {{"request", Body::Kind::kRequest},
+                                                             {"interrupt", Body::Kind::kInterrupt},
+                                                             {"answer", Body::Kind::kAnswer},
+                                                             {"rows", Body::Kind::kRows},
+                                                             {"notice", Body::Kind::kNotice}};
+constexpr std::pair<const char*, Outcome::How> kOutcomes[] = {{"served", Outcome::How::kServed},
+                                                              {"refused", Outcome::How::kRefused},
+                                                              {"failed", Outcome::How::kFailed},
+                                                              {"unknown", Outcome::How::kUnknown}};
 
 template <typename T, std::size_t N>
-const char* word(const std::pair<const char*, T> (&words)[N], T value) {
-  for (const auto& [text, of] : words) {
-    if (of == value) return text;
+const char* name_of(const std::pair<const char*, T> (&names)[N], T value) {
+  for (const auto& [name, known] : names) {
+    if (known == value) return name;
   }
   return "";
 }
 template <typename T, std::size_t N>
-T value(const std::pair<const char*, T> (&words)[N], const std::string& text) {
-  for (const auto& [known, of] : words) {
-    if (text == known) return of;
+T value_of(const std::pair<const char*, T> (&names)[N], const std::string& text) {
+  for (const auto& [name, known] : names) {
+    if (text == name) return known;
   }
   throw std::invalid_argument("unknown word '" + text.substr(0, 32) + "'");
 }
@@ -44,7 +45,7 @@
   const auto end = std::to_chars(text, text + 16, number, 16);
   return {text, end.ptr};
 }
-std::uint64_t unhex(const std::string& text) {
+std::uint64_t parse_hex(const std::string& text) {
   std::uint64_t number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number, 16);
   if (error != std::errc{} || end != text.data() + text.size())
@@ -53,7 +54,7 @@
 }
 
 // Stops before a document is built: deep nesting costs stack, and long containers memory.
-class Shape : public nlohmann::json_sax<json> {
+class ShapeCheck : public nlohmann::json_sax<json> {
  public:
   bool null() override { return true; }
   bool boolean(bool) override { return true; }
@@ -62,11 +63,11 @@
   bool number_float(number_float_t, const string_t&) override { return true; }
   bool string(string_t&) override { return true; }
   bool binary(binary_t&) override { return true; }
-  bool start_object(std::size_t) override { return ++depth_ <= kNestingMost; }
+  bool start_object(std::size_t) override { return ++depth_ <= kMaxNesting; }
   bool key(string_t&) override { return true; }
   bool end_object() override { return --depth_, true; }
   bool start_array(std::size_t size) override {
-    return ++depth_ <= kNestingMost && (size == static_cast<std::size_t>(-1) || size <= kFrameMost);
+    return ++depth_ <= kMaxNesting && (size == static_cast<std::size_t>(-1) || size <= kMaxFrameBytes);
   }
   bool end_array() override { return --depth_, true; }
   bool parse_error(std::size_t, const std::string&, const json::exception&) override { return false; }
@@ -76,33 +77,34 @@
 };
 
 json parse(std::string_view bytes, Format format) {
-  Shape shape;
+  ShapeCheck check;
   const auto kind = format == Format::kJson ? json::input_format_t::json : json::input_format_t::cbor;
-  if (bytes.size() > kFrameMost || !json::sax_parse(bytes.begin(), bytes.end(), &shape, kind))
+  if (bytes.size() > kMaxFrameBytes || !json::sax_parse(bytes.begin(), bytes.end(), &check, kind))
     throw std::invalid_argument("unreadable, too long or nested too deep");
   return format == Format::kJson ? json::parse(bytes.begin(), bytes.end())
                                  : json::from_cbor(bytes.begin(), bytes.end());
 }
 
-std::string write(const json& value, Format format) {
+std::string serialize(const json& value, Format format) {
   if (format == Format::kJson) return value.dump(-1, ' ', false, json::error_handler_t::strict);
   const auto bytes = json::to_cbor(value);
   return {bytes.begin(), bytes.end()};
 }
 
-std::string base64(std::string_view bytes) {
+std::string to_base64(std::string_view bytes) {
   static const char* digits = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
   std::string out;
   for (std::size_t i = 0; i < bytes.size(); i += 3) {
-    const std::size_t left = std::min<std::size_t>(3, bytes.size() - i);
+    const std::size_t remaining = std::min<std::size_t>(3, bytes.size() - i);
     std::uint32_t group = 0;
     for (std::size_t j = 0; j < 3; ++j)
-      group = group << 8 | (j < left ? static_cast<unsigned char>(bytes[i + j]) : 0);
-    for (std::size_t j = 0; j < 4; ++j) out.push_back(j <= left ? digits[group >> (18 - 6 * j) & 63] : '=');
+      group = group << 8 | (j < remaining ? static_cast<unsigned char>(bytes[i + j]) : 0);
+    for (std::size_t j = 0; j < 4; ++j)
+      out.push_back(j <= remaining ? digits[group >> (18 - 6 * j) & 63] : '=');
   }
   return out;
 }
-std::string unbase64(const std::string& text) {
+std::string from_base64(const std::string& text) {
   std::string out;
   std::uint32_t group = 0;
   int bits = 0;
@@ -125,101 +127,101 @@
 bool is_utf8(std::string_view text) {
   for (std::size_t i = 0; i < text.size();) {
     const auto c = static_cast<unsigned char>(text[i]);
-    const std::size_t more = c < 0x80                ? 0
-                             : c >= 0xc2 && c < 0xe0 ? 1
-                             : (c & 0xf0) == 0xe0    ? 2
-                             : c >= 0xf0 && c < 0xf5 ? 3
-                                                     : 9;
-    if (more == 9 || i + more >= text.size() + 0u) {
-      if (more == 9 || i + more > text.size() - 1) return false;
+    const std::size_t continuation_bytes = c < 0x80                ? 0
+                                           : c >= 0xc2 && c < 0xe0 ? 1
+                                           : (c & 0xf0) == 0xe0    ? 2
+                                           : c >= 0xf0 && c < 0xf5 ? 3
+                                                                   : 9;
+    if (continuation_bytes == 9 || i + continuation_bytes >= text.size() + 0u) {
+      if (continuation_bytes == 9 || i + continuation_bytes > text.size() - 1) return false;
     }
-    std::uint32_t point = more == 0 ? c : c & (0x3f >> more);
-    for (std::size_t j = 1; j <= more; ++j) {
+    std::uint32_t code_point = continuation_bytes == 0 ? c : c & (0x3f >> continuation_bytes);
+    for (std::size_t j = 1; j <= continuation_bytes; ++j) {
       const auto next = static_cast<unsigned char>(text[i + j]);
       if ((next & 0xc0) != 0x80) return false;
-      point = point << 6 | (next & 0x3f);
+      code_point = code_point << 6 | (next & 0x3f);
     }
-    if ((more == 2 && (point < 0x800 || (point >= 0xd800 && point < 0xe000))) ||
-        (more == 3 && (point < 0x10000 || point > 0x10ffff)))
+    if ((continuation_bytes == 2 && (code_point < 0x800 || (code_point >= 0xd800 && code_point < 0xe000))) ||
+        (continuation_bytes == 3 && (code_point < 0x10000 || code_point > 0x10ffff)))
       return false;
-    i += more + 1;
+    i += continuation_bytes + 1;
   }
   return true;
 }
 
-json body_to(const Body& b, Format format) {
-  json out = {{"k", word(kKinds, b.kind)}};
-  if (b.kind != Body::Kind::kNotice) out["key"] = b.key;
-  switch (b.kind) {
+json body_to_json(const Body& body, Format format) {
+  json out = {{"k", name_of(kBodyKinds, body.kind)}};
+  if (body.kind != Body::Kind::kNotice) out["key"] = body.key;
+  switch (body.kind) {
     case Body::Kind::kRequest:
-      out["first"] = hex(b.first);
-      out["verb"] = b.verb;
-      out["statement"] = b.statement;
-      out["limit"] = b.limit_ms;
-      if (b.cpu > 0) out["cpu"] = b.cpu;
-      if (b.mem > 0) out["mem"] = b.mem;
+      out["first"] = hex(body.first);
+      out["verb"] = body.verb;
+      out["statement"] = body.statement;
+      out["limit"] = body.limit_ms;
+      if (body.cpu > 0) out["cpu"] = body.cpu;
+      if (body.mem > 0) out["mem"] = body.mem;
       break;
     case Body::Kind::kAnswer:
-      out["how"] = word(kHows, b.outcome.how);
-      out["again"] = b.outcome.again;
-      if (b.outcome.later.count() > 0) out["later"] = b.outcome.later.count() / 1000;
-      if (b.outcome.how == Outcome::How::kServed)
-        out["rows"] = b.outcome.rows, out["bytes"] = b.outcome.bytes;
+      out["how"] = name_of(kOutcomes, body.outcome.how);
+      out["again"] = body.outcome.again;
+      if (body.outcome.later.count() > 0) out["later"] = body.outcome.later.count() / 1000;
+      if (body.outcome.how == Outcome::How::kServed)
+        out["rows"] = body.outcome.rows, out["bytes"] = body.outcome.bytes;
       break;
     case Body::Kind::kRows:
-      out["row"] = b.row;
-      out["count"] = b.count;
-      out["last"] = b.last;
-      if (b.text) {
+      out["row"] = body.row;
+      out["count"] = body.count;
+      out["last"] = body.last;
+      if (body.text) {
         // The rows' bytes are the engine's: where they are no text, they go as they can without being
         // changed.
         if (format == Format::kCbor) {
-          out["text"] = json::binary({b.text->begin(), b.text->end()});
-        } else if (is_utf8(*b.text)) {
-          out["text"] = *b.text;
+          out["text"] = json::binary({body.text->begin(), body.text->end()});
+        } else if (is_utf8(*body.text)) {
+          out["text"] = *body.text;
         } else {
-          out["base64"] = base64(*b.text);
+          out["base64"] = to_base64(*body.text);
         }
       }
       break;
     default:
       break;
   }
-  if (!b.code.empty()) out["code"] = b.code;
+  if (!body.code.empty()) out["code"] = body.code;
   return out;
 }
 
-void body_from(const json& in, Body& b) {
-  b.kind = value(kKinds, in.at("k").get<std::string>());
-  b.key = in.value("key", std::uint64_t{0});
-  b.code = in.value("code", std::string());
-  switch (b.kind) {
+void body_from_json(const json& in, Body& body) {
+  body.kind = value_of(kBodyKinds, in.at("k").get<std::string>());
+  body.key = in.value("key", std::uint64_t{0});
+  body.code = in.value("code", std::string());
+  switch (body.kind) {
     case Body::Kind::kRequest:
-      b.first = unhex(in.at("first"));
-      b.verb = in.at("verb");
-      b.statement = in.at("statement");
-      b.limit_ms = in.at("limit");
-      b.cpu = in.value("cpu", 0.0);
-      b.mem = in.value("mem", 0.0);
+      body.first = parse_hex(in.at("first"));
+      body.verb = in.at("verb");
+      body.statement = in.at("statement");
+      body.limit_ms = in.at("limit");
+      body.cpu = in.value("cpu", 0.0);
+      body.mem = in.value("mem", 0.0);
       break;
     case Body::Kind::kAnswer:
-      b.outcome.how = value(kHows, in.at("how").get<std::string>());
-      b.outcome.again = in.at("again");
-      b.outcome.later = Micros{in.value("later", std::int64_t{0}) * 1000};
-      b.outcome.rows = in.value("rows", std::uint64_t{0});
-      b.outcome.bytes = in.value("bytes", std::uint64_t{0});
+      body.outcome.how = value_of(kOutcomes, in.at("how").get<std::string>());
+      body.outcome.again = in.at("again");
+      body.outcome.later = Micros{in.value("later", std::int64_t{0}) * 1000};
+      body.outcome.rows = in.value("rows", std::uint64_t{0});
+      body.outcome.bytes = in.value("bytes", std::uint64_t{0});
       break;
     case Body::Kind::kRows:
-      b.row = in.at("row");
-      b.count = in.at("count");
-      b.last = in.at("last");
+      body.row = in.at("row");
+      body.count = in.at("count");
+      body.last = in.at("last");
       if (in.contains("text")) {
         const json& text = in.at("text");
-        b.text = text.is_binary()
-                     ? std::make_shared<const std::string>(text.get_binary().begin(), text.get_binary().end())
-                     : std::make_shared<const std::string>(text.get<std::string>());
+        body.text = text.is_binary() ? std::make_shared<const std::string>(text.get_binary().begin(),
+                                                                           text.get_binary().end())
+                                     : std::make_shared<const std::string>(text.get<std::string>());
       } else if (in.contains("base64")) {
-        b.text = std::make_shared<const std::string>(unbase64(in.at("base64")));
+        body.text = std::make_shared<const std::string>(from_base64(in.at("base64")));
       }
       break;
     default:
@@ -227,38 +229,41 @@
   }
 }
 
-json frame_to(const Frame& f, Format format) {
-  json out = {{"t", word(kTypes, f.type)}};
-  switch (f.type) {
-    case Type::kHello:
-      out.update({{"tenant", f.tenant}, {"device", f.device}, {"have", f.have}, {"deadline", f.deadline_ms}});
-      if (!f.token.empty()) out["token"] = f.token;
+json frame_to_json(const Frame& frame, Format format) {
+  json out = {{"t", name_of(kFrameTypes, frame.type)}};
+  switch (frame.type) {
+    case FrameType::kHello:
+      out.update({{"tenant", frame.tenant},
+                  {"device", frame.device},
+                  {"have", frame.have},
+                  {"deadline", frame.deadline_ms}});
+      if (!frame.token.empty()) out["token"] = frame.token;
       break;
-    case Type::kWelcome:
-      out.update({{"token", f.token},
-                  {"incarnation", hex(f.incarnation)},
-                  {"have", f.have},
-                  {"resumed", f.resumed},
-                  {"heartbeat", f.heartbeat_ms}});
+    case FrameType::kWelcome:
+      out.update({{"token", frame.token},
+                  {"incarnation", hex(frame.incarnation)},
+                  {"have", frame.have},
+                  {"resumed", frame.resumed},
+                  {"heartbeat", frame.heartbeat_ms}});
       break;
-    case Type::kMessage:
-      out.update({{"seq", f.seq}, {"have", f.have}, {"body", body_to(f.body, format)}});
+    case FrameType::kMessage:
+      out.update({{"seq", frame.seq}, {"have", frame.have}, {"body", body_to_json(frame.body, format)}});
       break;
-    case Type::kAck:
-      out["have"] = f.have;
+    case FrameType::kAck:
+      out["have"] = frame.have;
       break;
-    case Type::kPing:
-    case Type::kPong:
-      out.update({{"nonce", hex(f.nonce)}, {"have", f.have}});
+    case FrameType::kPing:
+    case FrameType::kPong:
+      out.update({{"nonce", hex(frame.nonce)}, {"have", frame.have}});
       break;
-    case Type::kLater:
-      out["later"] = f.later_ms;
+    case FrameType::kLater:
+      out["later"] = frame.later_ms;
       break;
-    case Type::kMoved:
-      out["home"] = f.home;
+    case FrameType::kMoved:
+      out["home"] = frame.home;
       break;
-    case Type::kError:
-      out.update({{"code", f.code}, {"text", f.text}, {"again", f.again}});
+    case FrameType::kError:
+      out.update({{"code", frame.code}, {"text", frame.text}, {"again", frame.again}});
       break;
     default:
       break;
@@ -266,44 +271,44 @@
   return out;
 }
 
-void frame_from(const json& in, Frame& f) {
-  f.type = value(kTypes, in.at("t").get<std::string>());
-  f.have = in.value("have", Seq{0});
-  switch (f.type) {
-    case Type::kHello:
-      f.tenant = in.value("tenant", std::string());
-      f.device = in.at("device");
-      f.token = in.value("token", std::string());
-      f.deadline_ms = in.value("deadline", std::int64_t{60'000});
+void frame_from_json(const json& in, Frame& frame) {
+  frame.type = value_of(kFrameTypes, in.at("t").get<std::string>());
+  frame.have = in.value("have", Seq{0});
+  switch (frame.type) {
+    case FrameType::kHello:
+      frame.tenant = in.value("tenant", std::string());
+      frame.device = in.at("device");
+      frame.token = in.value("token", std::string());
+      frame.deadline_ms = in.value("deadline", std::int64_t{60'000});
       break;
-    case Type::kWelcome:
-      f.token = in.at("token");
-      f.incarnation = unhex(in.at("incarnation"));
-      f.resumed = in.at("resumed");
-      f.heartbeat_ms = in.at("heartbeat");
+    case FrameType::kWelcome:
+      frame.token = in.at("token");
+      frame.incarnation = parse_hex(in.at("incarnation"));
+      frame.resumed = in.at("resumed");
+      frame.heartbeat_ms = in.at("heartbeat");
       break;
-    case Type::kMessage:
-      f.seq = in.at("seq");
+    case FrameType::kMessage:
+      frame.seq = in.at("seq");
       in.at("have");
-      body_from(in.at("body"), f.body);
+      body_from_json(in.at("body"), frame.body);
       break;
-    case Type::kAck:
+    case FrameType::kAck:
       in.at("have");
       break;
-    case Type::kPing:
-    case Type::kPong:
-      f.nonce = unhex(in.at("nonce"));
+    case FrameType::kPing:
+    case FrameType::kPong:
+      frame.nonce = parse_hex(in.at("nonce"));
       break;
-    case Type::kLater:
-      f.later_ms = in.at("later");
+    case FrameType::kLater:
+      frame.later_ms = in.at("later");
       break;
-    case Type::kMoved:
-      f.home = in.at("home");
+    case FrameType::kMoved:
+      frame.home = in.at("home");
       break;
-    case Type::kError:
-      f.code = in.at("code");
-      f.text = in.at("text");
-      f.again = in.at("again");
+    case FrameType::kError:
+      frame.code = in.at("code");
+      frame.text = in.at("text");
+      frame.again = in.at("again");
       break;
     default:
       break;
@@ -312,37 +317,39 @@
 
 }  // namespace
 
-std::string encode(const Frame& frame, Format format) { return write(frame_to(frame, format), format); }
+std::string encode(const Frame& frame, Format format) {
+  return serialize(frame_to_json(frame, format), format);
+}
 
-bool decode(std::string_view bytes, Format format, Frame& frame, std::string& why) {
+bool decode(std::string_view bytes, Format format, Frame& frame, std::string& reason) {
   try {
     frame = {};
-    frame_from(parse(bytes, format), frame);
+    frame_from_json(parse(bytes, format), frame);
     return true;
   } catch (const std::exception& fault) {
-    why = fault.what();
+    reason = fault.what();
     return false;
   }
 }
 
 std::string encode(const Envelope& envelope, Format format) {
   json frames = json::array();
-  for (const Frame& frame : envelope.frames) frames.push_back(frame_to(frame, format));
-  return write({{"link", envelope.link}, {"have", envelope.have}, {"frames", std::move(frames)}}, format);
+  for (const Frame& frame : envelope.frames) frames.push_back(frame_to_json(frame, format));
+  return serialize({{"link", envelope.link}, {"have", envelope.have}, {"frames", std::move(frames)}}, format);
 }
 
-bool decode(std::string_view bytes, Format format, Envelope& envelope, std::string& why) {
+bool decode(std::string_view bytes, Format format, Envelope& envelope, std::string& reason) {
   try {
     envelope = {};
     const json in = parse(bytes, format);
     envelope.link = in.value("link", std::string());
     envelope.have = in.value("have", Seq{0});
     if (in.contains("frames")) {
-      for (const json& one : in.at("frames")) frame_from(one, envelope.frames.emplace_back());
+      for (const json& element : in.at("frames")) frame_from_json(element, envelope.frames.emplace_back());
     }
     return true;
   } catch (const std::exception& fault) {
-    why = fault.what();
+    reason = fault.what();
     return false;
   }
 }
--- a/src/edge/codec.h
+++ b/src/edge/codec.h
@@ -11,13 +11,13 @@
 
 enum class Format { kJson, kCbor };
 
-constexpr std::size_t kFrameMost = 256 << 10;  // bytes, once decompressed
-constexpr int kNestingMost = 6;
+constexpr std::size_t kMaxFrameBytes = 256 << 10;  // bytes, once decompressed
+constexpr int kMaxNesting = 6;
 
 std::string encode(const Frame& frame, Format format);
 // False where it is no frame: unreadable, nested too deep, or with fields of the wrong kind; `why` says
 // which.
-bool decode(std::string_view bytes, Format format, Frame& frame, std::string& why);
+bool decode(std::string_view bytes, Format format, Frame& frame, std::string& reason);
 
 // What a device sends to the long poll, and what it gets.
 struct Envelope {
@@ -26,6 +26,6 @@
   std::vector<Frame> frames;
 };
 std::string encode(const Envelope& envelope, Format format);
-bool decode(std::string_view bytes, Format format, Envelope& envelope, std::string& why);
+bool decode(std::string_view bytes, Format format, Envelope& envelope, std::string& reason);
 
 }  // namespace steprail::edge
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -21,9 +21,9 @@
 namespace steprail::edge {
 
 // A device's connection, whatever it is made of. Frames leave in order; after close() nothing is heard of it.
-class Link {
+class DeviceConnection {
  public:
-  virtual ~Link() = default;
+  virtual ~DeviceConnection() = default;
   virtual void send(const Frame& frame) = 0;
   virtual void close() = 0;
 };
@@ -40,11 +40,11 @@
   void reconfigure(const EdgeConf& conf);
 
   // ---- Links ----
-  ConnId opened(std::shared_ptr<Link> link);
-  void heard(ConnId conn, const Frame& frame);
-  void closed(ConnId conn);
-  void room(ConnId conn, bool room);
-  void polled(ConnId conn, Seq have);
+  ConnId on_opened(std::shared_ptr<DeviceConnection> connection);
+  void on_frame(ConnId conn, const Frame& frame);
+  void on_closed(ConnId conn);
+  void set_writable(ConnId conn, bool writable);
+  void on_poll(ConnId conn, Seq have);
 
   // ---- Front ----
   void answer(const Ticket& ticket, Answer answer) override;
@@ -53,8 +53,8 @@
   // At SIGTERM: devices are told; settled() once all that was taken is answered and, as far as devices are
   // there, has arrived.
   void drain();
-  bool settled() const { return logic_->settled() && (!ledger_ || ledger_->idle()); }
-  void observe();
+  bool drained() const { return logic_->settled() && (!ledger_ || ledger_->idle()); }
+  void update_metrics();
   const EdgeLogic& logic() const { return *logic_; }
   const LedgerWriter* ledger() const { return ledger_.get(); }
 
@@ -62,56 +62,56 @@
   struct Result {  // of a request that was served
     int tenant{};
     std::string handle;
-    spool::Window whole;  // where the spool was full: all there is
-    bool direct{false};
+    spool::Window inline_window;  // where the spool was full: all there is
+    bool is_inline{false};
   };
   static Micros now();
   static std::int64_t unix_now();
-  EdgeSettings settings_of(const EdgeConf& conf) const;
-  void run();
-  void carry_out(const ToDevice& act);
-  void carry_out(const CloseConn& act);
-  void carry_out(const Write& act);
-  void carry_out(const Submit& act);
-  void carry_out(const Withdraw& act);
-  void carry_out(const Fetch& act);
-  void carry_out(const Release& act);
-  void answered(RequestId request, const Outcome& outcome);
-  void forget_due();
-  void give(const Fetch& act, const spool::Window& window);
-  void arm();
+  EdgeSettings make_logic_settings(const EdgeConf& conf) const;
+  void perform_actions();
+  void perform(const ToDevice& action);
+  void perform(const CloseConn& action);
+  void perform(const Write& action);
+  void perform(const Submit& action);
+  void perform(const Withdraw& action);
+  void perform(const Fetch& action);
+  void perform(const Release& action);
+  void report_outcome(RequestId request, const Outcome& outcome);
+  void drop_expired_results();
+  void deliver_rows(const Fetch& action, const spool::Window& window);
+  void arm_timer();
 
   Strand strand_;
   Coordinator& coordinator_;
   EventLog& log_;
   const Tables& tables_;
   spool::Spool& spool_;
-  int number_;  // among the coordinator's fronts
+  int front_index_;  // among the coordinator's fronts
   std::unique_ptr<EdgeLogic> logic_;
   std::unique_ptr<LedgerWriter> ledger_;
-  std::unordered_map<ConnId, std::shared_ptr<Link>> links_;
-  struct Running {
+  std::unordered_map<ConnId, std::shared_ptr<DeviceConnection>> connections_;
+  struct RunningRequest {
     int tenant{};
     bool spooled{}, repeatable{};
-    Micros give_up{0};
+    Micros deadline{0};
   };
-  std::unordered_map<RequestId, Running> running_;
+  std::unordered_map<RequestId, RunningRequest> running_;
   std::unordered_map<RequestId, Result> results_;
   // When nobody may come for a result any more.
-  using Due = std::pair<Micros, RequestId>;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::uint64_t direct_bytes_{0};
-  ConnId last_conn_{0};
-  std::vector<Act> acts_;
-  bool working_{false};
+  using ResultExpiry = std::pair<Micros, RequestId>;
+  std::priority_queue<ResultExpiry, std::vector<ResultExpiry>, std::greater<>> result_expiries_;
+  std::uint64_t inline_bytes_{0};
+  ConnId last_conn_id_{0};
+  std::vector<Act> actions_;
+  bool performing_actions_{false};
   boost::asio::steady_timer timer_;
-  Micros armed_for_{0};
-  struct Counted {
-    explicit Counted(Metrics& metrics);
+  Micros timer_due_at_{0};
+  struct Gauges {
+    explicit Gauges(Metrics& metrics);
     prometheus::Gauge &sessions, &live, &bytes, &waiting, &entries;
     prometheus::Gauge &begun, &resumed, &taken_over, &expired, &turned_away, &forged, &suspected, &requests,
         &repeats, &answers, &unknowns, &refused, &commits, &records;
-  } counted_;
+  } gauges_;
 };
 
 }  // namespace steprail::edge
--- a/src/edge/fronts.h
+++ b/src/edge/fronts.h
@@ -20,7 +20,7 @@
 class Fronts {
  public:
   struct Limits {
-    std::size_t connections{256};
+    std::size_t max_connections{256};
     Micros poll_wait{25'000'000};
   };
   Fronts(Strand strand, EventLog& log, Edge& edge, Limits limits);
@@ -32,29 +32,29 @@
   tcp::endpoint listen(const tcp::endpoint& at);
   void set_limits(const Limits& limits) { limits_ = limits; }
   // Nothing is left to be written.
-  bool written_out() const;
+  bool all_written() const;
   std::size_t connections() const { return connections_; }
-  std::size_t links() const { return links_.size(); }
+  std::size_t poll_link_count() const { return poll_links_.size(); }
 
  private:
-  class Http;
-  class WebSocket;
-  class Poll;
+  class HttpConnection;
+  class WebSocketConnection;
+  class PollConnection;
   void accept();
-  std::shared_ptr<Poll> find(const std::string& link) const;
-  void drop(const std::string& link);
-  void sweep();
+  std::shared_ptr<PollConnection> find_poll(const std::string& link) const;
+  void drop_poll(const std::string& link);
+  void drop_silent_polls();
 
   Strand strand_;
   EventLog& log_;
   Edge& edge_;
   Limits limits_;
   tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_, sweep_;
+  boost::asio::steady_timer accept_retry_timer_, sweep_timer_;
   bool accepting_{false};
-  std::size_t connections_{0}, writing_{0};
-  std::unordered_map<std::string, std::shared_ptr<Poll>> polls_;
-  PollLinks links_;
+  std::size_t connections_{0}, pending_writes_{0};
+  std::unordered_map<std::string, std::shared_ptr<PollConnection>> polls_;
+  PollLinks poll_links_;
   std::shared_ptr<bool> alive_{std::make_shared<bool>(true)};
 };
 
--- a/src/edge/settings.h
+++ b/src/edge/settings.h
@@ -11,18 +11,18 @@
 namespace steprail::edge {
 
 struct EdgeConf {
-  bool on{false};
+  bool enabled{false};
   std::string listen;
   std::string secret_file;    // empty: a secret of this process's own
   std::string ledger_folder;  // empty: the ledger is in memory
-  std::uint64_t ledger_most{256u << 20};
+  std::uint64_t max_ledger_bytes{256u << 20};
   Micros poll_wait{25'000'000};
-  std::size_t connections{256};
+  std::size_t max_connections{256};
   EdgeSettings logic;
   bool operator==(const EdgeConf&) const = default;
 };
 
-void register_edge(conf::Schema& schema, EdgeConf& into);
-std::string needs_restart(const EdgeConf& running, const EdgeConf& fresh);
+void register_edge(conf::Schema& schema, EdgeConf& config);
+std::string needs_restart(const EdgeConf& running, const EdgeConf& updated);
 
 }  // namespace steprail::edge
--- a/src/operator.cpp
+++ b/src/operator.cpp
@@ -78,8 +78,9 @@
 }
 
 std::string misfit(const OperatorConf& conf, std::size_t memory_mb, std::size_t sockets) {
-  if (conf.edge.on && !conf.spool.on) return "edge: it keeps its rows in the block 'spool', which is missing";
-  if (conf.edge.on && conf.edge.connections > sockets / 3)
+  if (conf.edge.enabled && !conf.spool.on)
+    return "edge: it keeps its rows in the block 'spool', which is missing";
+  if (conf.edge.enabled && conf.edge.max_connections > sockets / 3)
     return "edge: 'connections' is more than a third of the " + std::to_string(sockets) +
            " descriptors that the coordinator has";
   if (!conf.spool.on) return {};
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -60,7 +60,7 @@
                                           std::move(substitutes));
   readers_ = std::make_unique<spool::ReaderFront>(strand_, coordinator_, log_, config_.tables, *spool_,
                                                   reader_limits());
-  if (!conf_.edge.on) return;
+  if (!conf_.edge.enabled) return;
   edge_ = std::make_unique<edge::Edge>(strand_, coordinator_, log_, *metrics_, config_.tables, *spool_,
                                        conf_.edge, config_.seed, std::move(ledger));
   edge_fronts_ = std::make_unique<edge::Fronts>(strand_, log_, *edge_, edge_limits());
@@ -72,7 +72,9 @@
   routes_ = std::make_unique<routes::Routes>(coordinator_, log_, *metrics_, config_.tables, std::move(set));
 }
 
-edge::Fronts::Limits Server::edge_limits() const { return {conf_.edge.connections, conf_.edge.poll_wait}; }
+edge::Fronts::Limits Server::edge_limits() const {
+  return {conf_.edge.max_connections, conf_.edge.poll_wait};
+}
 
 FramedServer::Limits Server::reader_limits() const {
   return {.sessions = conf_.spool.sessions,
@@ -208,7 +210,7 @@
   });
   // Readers' connections and the spool's own files come out of the engines' part.
   const std::size_t spool = conf_.spool.on ? conf_.spool.sessions + kSpoolDescriptors : 0;
-  const std::size_t edge = conf_.edge.on ? conf_.edge.connections + kSpoolDescriptors : 0;
+  const std::size_t edge = conf_.edge.enabled ? conf_.edge.max_connections + kSpoolDescriptors : 0;
   limits.connections -= std::min(spool + edge, limits.connections - 1);
   return limits;
 }
@@ -250,7 +252,7 @@
 
 void Server::write_metrics() {
   if (spool_) spool_->observe();
-  if (edge_) edge_->observe();
+  if (edge_) edge_->update_metrics();
   if (routes_) routes_->observe();
   if (!errands_) errands_ = std::make_unique<Worker>(1);
   const bool taken = errands_->post([this, path = conf_.metrics_file, text = metrics_->text()] {
@@ -269,7 +271,7 @@
   // Whole results that only this process has wait for their readers: their leases and give-up times end that.
   const bool spooled = !spool_ || (spool_->settled() && readers_->written_out());
   // Devices that are there hear their answers; those on dead links have the ledger, and the next process.
-  const bool edged = !edge_ || (edge_->settled() && edge_fronts_->written_out()) ||
+  const bool edged = !edge_ || (edge_->drained() && edge_fronts_->all_written()) ||
                      std::chrono::steady_clock::now() > drain_until_;
   if (front_.written_out() && spooled && edged) return end();
   grace_.expires_after(kDrainLook);
--- a/standins/edge_client.cpp
+++ b/standins/edge_client.cpp
@@ -14,15 +14,16 @@
 using boost::system::error_code;
 using namespace edge;
 
-class EdgeClient::Socket : public Way, public std::enable_shared_from_this<Socket> {
+class EdgeClient::WebSocketConnection : public Connection,
+                                        public std::enable_shared_from_this<WebSocketConnection> {
  public:
-  Socket(EdgeClient& client, Format format)
+  WebSocketConnection(EdgeClient& client, Format format)
       : client_(client), alive_(client.alive_), stream_(client.io_), format_(format) {}
 
   void run() {
     beast::get_lowest_layer(stream_).async_connect(
-        client_.to_, [self = shared_from_this()](error_code error) {
-          if (error) return self->lost();
+        client_.target_, [self = shared_from_this()](error_code error) {
+          if (error) return self->on_lost();
           websocket::permessage_deflate deflate;
           deflate.client_enable = true;
           self->stream_.set_option(deflate);
@@ -33,18 +34,18 @@
                             format == Format::kCbor ? "steprail.cbor" : "steprail.json");
               }));
           self->stream_.async_handshake("edge", "/edge/ws", [self](error_code e) {
-            if (e) return self->lost();
-            self->up_ = true;
+            if (e) return self->on_lost();
+            self->connected_ = true;
             self->write();
             self->read();
           });
         });
   }
-  void say(const std::vector<Frame>& frames) override {
+  void send_frames(const std::vector<Frame>& frames) override {
     for (const Frame& frame : frames) queue_.push_back(encode(frame, format_));
     write();
   }
-  void end() override {
+  void close() override {
     error_code ignored;
     beast::get_lowest_layer(stream_).socket().set_option(boost::asio::socket_base::linger(true, 0), ignored);
     beast::get_lowest_layer(stream_).close();
@@ -53,30 +54,30 @@
  private:
   void read() {
     stream_.async_read(buffer_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (error) return self->lost();
+      if (error) return self->on_lost();
       Frame frame;
-      std::string why;
+      std::string reason;
       const auto data = self->buffer_.cdata();
-      if (!decode({static_cast<const char*>(data.data()), data.size()}, self->format_, frame, why))
-        return self->lost();
+      if (!decode({static_cast<const char*>(data.data()), data.size()}, self->format_, frame, reason))
+        return self->on_lost();
       self->buffer_.consume(data.size());
-      if (*self->alive_) self->client_.heard(self.get(), frame);
+      if (*self->alive_) self->client_.on_frame(self.get(), frame);
       self->read();
     });
   }
   void write() {
-    if (!up_ || writing_ || queue_.empty()) return;
+    if (!connected_ || writing_ || queue_.empty()) return;
     writing_ = true;
     stream_.async_write(boost::asio::buffer(queue_.front()),
                         [self = shared_from_this()](error_code error, std::size_t) {
                           self->writing_ = false;
                           self->queue_.pop_front();
-                          if (error) return self->lost();
+                          if (error) return self->on_lost();
                           self->write();
                         });
   }
-  void lost() {
-    if (*alive_) client_.lost(this);
+  void on_lost() {
+    if (*alive_) client_.on_lost(this);
   }
 
   EdgeClient& client_;
@@ -85,29 +86,29 @@
   Format format_;
   beast::flat_buffer buffer_;
   std::deque<std::string> queue_;
-  bool up_{false}, writing_{false};
+  bool connected_{false}, writing_{false};
 };
 
 // One connection polls; what is to be said goes with the next poll, or by a send of its own meanwhile.
-class EdgeClient::Polling : public Way, public std::enable_shared_from_this<Polling> {
+class EdgeClient::PollConnection : public Connection, public std::enable_shared_from_this<PollConnection> {
  public:
-  explicit Polling(EdgeClient& client)
-      : client_(client), alive_(client.alive_), stream_(client.io_), side_(client.io_) {}
+  explicit PollConnection(EdgeClient& client)
+      : client_(client), alive_(client.alive_), stream_(client.io_), send_stream_(client.io_) {}
 
   void run() {
-    stream_.async_connect(client_.to_, [self = shared_from_this()](error_code error) {
-      if (error) return self->lost();
-      self->up_ = true;
+    stream_.async_connect(client_.target_, [self = shared_from_this()](error_code error) {
+      if (error) return self->on_lost();
+      self->connected_ = true;
       self->poll();
     });
   }
-  void say(const std::vector<Frame>& frames) override {
-    waiting_.insert(waiting_.end(), frames.begin(), frames.end());
-    if (!link_.empty()) send();
+  void send_frames(const std::vector<Frame>& frames) override {
+    queue_.insert(queue_.end(), frames.begin(), frames.end());
+    if (!link_.empty()) send_queued();
   }
-  void end() override {
+  void close() override {
     stream_.close();
-    side_.close();
+    send_stream_.close();
   }
 
  private:
@@ -122,76 +123,83 @@
     return request;
   }
   void poll() {
-    if (!up_ || !*alive_) return;
-    Envelope envelope{link_, client_.device_.have(), std::exchange(waiting_, {})};
+    if (!connected_ || !*alive_) return;
+    Envelope envelope{link_, client_.device_.have(), std::exchange(queue_, {})};
     const auto request = post(link_.empty() ? "/edge/open" : "/edge/poll", envelope);
     http::async_write(stream_, *request, [self = shared_from_this(), request](error_code error, std::size_t) {
-      if (error) return self->lost();
+      if (error) return self->on_lost();
       self->response_.emplace();
       http::async_read(self->stream_, self->buffer_, *self->response_, [self](error_code e, std::size_t) {
-        if (e || !*self->alive_) return self->lost();
-        if (!self->take(self->response_->get())) return self->lost();
-        if (!self->gone_) self->poll();
+        if (e || !*self->alive_) return self->on_lost();
+        if (!self->handle_response(self->response_->get())) return self->on_lost();
+        if (!self->lost_) self->poll();
       });
     });
   }
-  bool take(const http::response<http::string_body>& response) {
+  bool handle_response(const http::response<http::string_body>& response) {
     Envelope envelope;
-    std::string why;
-    if (response.result() != http::status::ok || !decode(response.body(), Format::kJson, envelope, why))
+    std::string reason;
+    if (response.result() != http::status::ok || !decode(response.body(), Format::kJson, envelope, reason))
       return false;
     if (link_.empty()) link_ = envelope.link;
     for (const Frame& frame : envelope.frames) {
-      if (gone_) break;
-      client_.heard(this, frame);
+      if (lost_) break;
+      client_.on_frame(this, frame);
     }
     return true;
   }
   // By a connection of its own, as the other one waits for its poll.
-  void send() {
-    if (sending_ || waiting_.empty() || gone_) return;
+  void send_queued() {
+    if (sending_ || queue_.empty() || lost_) return;
     sending_ = true;
-    if (side_.socket().is_open()) return write_side();
-    side_.async_connect(client_.to_, [self = shared_from_this()](error_code error) {
-      if (error) return self->lost();
-      self->write_side();
+    if (send_stream_.socket().is_open()) return write_queued();
+    send_stream_.async_connect(client_.target_, [self = shared_from_this()](error_code error) {
+      if (error) return self->on_lost();
+      self->write_queued();
     });
   }
-  void write_side() {
-    const auto request = post("/edge/send", {link_, 0, std::exchange(waiting_, {})});
-    http::async_write(side_, *request, [self = shared_from_this(), request](error_code error, std::size_t) {
-      if (error) return self->lost();
-      self->side_response_.emplace();
-      http::async_read(self->side_, self->side_buffer_, *self->side_response_,
-                       [self](error_code e, std::size_t) {
-                         self->sending_ = false;
-                         if (e || !*self->alive_ || self->side_response_->get().result() != http::status::ok)
-                           return self->lost();
-                         self->send();
-                       });
-    });
+  void write_queued() {
+    const auto request = post("/edge/send", {link_, 0, std::exchange(queue_, {})});
+    http::async_write(
+        send_stream_, *request, [self = shared_from_this(), request](error_code error, std::size_t) {
+          if (error) return self->on_lost();
+          self->send_response_.emplace();
+          http::async_read(
+              self->send_stream_, self->send_buffer_, *self->send_response_,
+              [self](error_code e, std::size_t) {
+                self->sending_ = false;
+                if (e || !*self->alive_ || self->send_response_->get().result() != http::status::ok)
+                  return self->on_lost();
+                self->send_queued();
+              });
+        });
   }
-  void lost() {
-    if (std::exchange(gone_, true) || !*alive_) return;
-    client_.lost(this);
+  void on_lost() {
+    if (std::exchange(lost_, true) || !*alive_) return;
+    client_.on_lost(this);
   }
 
   EdgeClient& client_;
   std::shared_ptr<bool> alive_;
-  beast::tcp_stream stream_, side_;
-  beast::flat_buffer buffer_, side_buffer_;
-  std::optional<Response> response_, side_response_;
-  std::vector<Frame> waiting_;
+  beast::tcp_stream stream_, send_stream_;
+  beast::flat_buffer buffer_, send_buffer_;
+  std::optional<Response> response_, send_response_;
+  std::vector<Frame> queue_;
   std::string link_;
-  bool up_{false}, sending_{false}, gone_{false};
+  bool connected_{false}, sending_{false}, lost_{false};
 };
 
-EdgeClient::EdgeClient(boost::asio::io_context& io, Device& device, tcp::endpoint to, By by)
-    : io_(io), device_(device), to_(to), by_(by), again_(io), silence_(io) {}
+EdgeClient::EdgeClient(boost::asio::io_context& io, Device& device, tcp::endpoint target, Transport transport)
+    : io_(io),
+      device_(device),
+      target_(target),
+      transport_(transport),
+      reconnect_timer_(io),
+      silence_timer_(io) {}
 
 EdgeClient::~EdgeClient() {
   *alive_ = false;
-  if (way_) way_->end();
+  if (connection_) connection_->close();
 }
 
 std::chrono::microseconds EdgeClient::now() {
@@ -201,73 +209,75 @@
 
 void EdgeClient::connect() {
   stopped_ = false;
-  ++connects_;
-  device_.polling = by_ == By::kPoll;
+  ++connect_count_;
+  device_.polling = transport_ == Transport::kPoll;
   const Frame hello = device_.hello(now());
-  if (by_ == By::kPoll) {
-    const auto polling = std::make_shared<Polling>(*this);
-    way_ = polling;
-    polling->say({hello});
+  if (transport_ == Transport::kPoll) {
+    const auto polling = std::make_shared<PollConnection>(*this);
+    connection_ = polling;
+    polling->send_frames({hello});
     polling->run();
   } else {
-    const auto socket =
-        std::make_shared<Socket>(*this, by_ == By::kWebSocketCbor ? Format::kCbor : Format::kJson);
-    way_ = socket;
-    socket->say({hello});
+    const auto socket = std::make_shared<WebSocketConnection>(
+        *this, transport_ == Transport::kWebSocketCbor ? Format::kCbor : Format::kJson);
+    connection_ = socket;
+    socket->send_frames({hello});
     socket->run();
   }
-  watch();
+  restart_silence_timer();
 }
 
-std::uint64_t EdgeClient::ask(const std::string& verb, const std::string& statement, std::int64_t limit_ms) {
+std::uint64_t EdgeClient::send_request(const std::string& verb, const std::string& statement,
+                                       std::int64_t limit_ms) {
   const std::uint64_t key = device_.ask(verb, statement, limit_ms, now());
-  push();
+  send_pending();
   return key;
 }
 
-void EdgeClient::push() {
+void EdgeClient::send_pending() {
   std::vector<Frame> frames;
   device_.transmit(frames);
-  if (way_ && !frames.empty()) way_->say(frames);
+  if (connection_ && !frames.empty()) connection_->send_frames(frames);
 }
 
-void EdgeClient::heard(const Way* from, const Frame& frame) {
-  if (from != way_.get()) return;
+void EdgeClient::on_frame(const Connection* from, const Frame& frame) {
+  if (from != connection_.get()) return;
   std::vector<Frame> frames;
-  const auto then = device_.heard(frame, frames);
-  watch();
-  if (!frames.empty()) way_->say(frames);
-  if (then != Device::Then::kGoOn) lost(from);
+  const auto next = device_.heard(frame, frames);
+  restart_silence_timer();
+  if (!frames.empty()) connection_->send_frames(frames);
+  if (next != Device::Then::kGoOn) on_lost(from);
 }
 
-void EdgeClient::lost(const Way* from) {
-  if (!way_ || from != way_.get()) return;
+void EdgeClient::on_lost(const Connection* from) {
+  if (!connection_ || from != connection_.get()) return;
   // Not at once: its own handler may be what brings us here.
-  boost::asio::post(io_, [way = std::exchange(way_, nullptr)] { way->end(); });
-  silence_.cancel();
+  boost::asio::post(io_, [connection = std::exchange(connection_, nullptr)] { connection->close(); });
+  silence_timer_.cancel();
   if (stopped_) return;
   auto wait = std::chrono::milliseconds(10);
   if (device_.later_ms > 0) wait = std::chrono::milliseconds(std::exchange(device_.later_ms, 0));
-  again_.expires_after(wait);
-  again_.async_wait([this, alive = alive_](error_code error) {
-    if (!error && *alive && !stopped_ && !way_) connect();
+  reconnect_timer_.expires_after(wait);
+  reconnect_timer_.async_wait([this, alive = alive_](error_code error) {
+    if (!error && *alive && !stopped_ && !connection_) connect();
   });
 }
 
-void EdgeClient::drop() {
-  if (way_) lost(way_.get());
+void EdgeClient::drop_connection() {
+  if (connection_) on_lost(connection_.get());
 }
 
 void EdgeClient::stop() {
   stopped_ = true;
-  drop();
+  drop_connection();
 }
 
-void EdgeClient::watch() {
-  const auto beats = std::chrono::milliseconds(std::max<std::int64_t>(3000, 3 * device_.heartbeat_ms));
-  silence_.expires_after(patience_.count() > 0 ? patience_ : beats);
-  silence_.async_wait([this, alive = alive_](error_code error) {
-    if (!error && *alive) drop();
+void EdgeClient::restart_silence_timer() {
+  const auto default_timeout =
+      std::chrono::milliseconds(std::max<std::int64_t>(3000, 3 * device_.heartbeat_ms));
+  silence_timer_.expires_after(silence_timeout_.count() > 0 ? silence_timeout_ : default_timeout);
+  silence_timer_.async_wait([this, alive = alive_](error_code error) {
+    if (!error && *alive) drop_connection();
   });
 }
 
--- a/standins/edge_client.h
+++ b/standins/edge_client.h
@@ -16,46 +16,46 @@
 
 class EdgeClient {
  public:
-  enum class By { kWebSocketJson, kWebSocketCbor, kPoll };
-  EdgeClient(boost::asio::io_context& io, Device& device, tcp::endpoint to, By by);
+  enum class Transport { kWebSocketJson, kWebSocketCbor, kPoll };
+  EdgeClient(boost::asio::io_context& io, Device& device, tcp::endpoint target, Transport transport);
   ~EdgeClient();
   EdgeClient(const EdgeClient&) = delete;
   EdgeClient& operator=(const EdgeClient&) = delete;
 
   void connect();
   // Asks for something; it leaves as soon as there is a session.
-  std::uint64_t ask(const std::string& verb, const std::string& statement, std::int64_t limit_ms);
-  void push();  // what the device has to say
-  void drop();  // its link breaks, and it comes back
-  void stop();  // and stays away
-  void use(By by) { by_ = by; }
-  void set_target(const tcp::endpoint& to) { to_ = to; }
-  std::size_t connects() const { return connects_; }
-  void set_patience(std::chrono::milliseconds patience) { patience_ = patience; }
+  std::uint64_t send_request(const std::string& verb, const std::string& statement, std::int64_t limit_ms);
+  void send_pending();     // what the device has to say
+  void drop_connection();  // its link breaks, and it comes back
+  void stop();             // and stays away
+  void set_transport(Transport transport) { transport_ = transport; }
+  void set_target(const tcp::endpoint& target) { target_ = target; }
+  std::size_t connect_count() const { return connect_count_; }
+  void set_silence_timeout(std::chrono::milliseconds timeout) { silence_timeout_ = timeout; }
 
  private:
-  class Socket;
-  class Polling;
-  class Way {
+  class WebSocketConnection;
+  class PollConnection;
+  class Connection {
    public:
-    virtual ~Way() = default;
-    virtual void say(const std::vector<edge::Frame>& frames) = 0;
-    virtual void end() = 0;
+    virtual ~Connection() = default;
+    virtual void send_frames(const std::vector<edge::Frame>& frames) = 0;
+    virtual void close() = 0;
   };
-  void heard(const Way* from, const edge::Frame& frame);
-  void lost(const Way* from);
-  void watch();
+  void on_frame(const Connection* from, const edge::Frame& frame);
+  void on_lost(const Connection* from);
+  void restart_silence_timer();
   static std::chrono::microseconds now();
 
   boost::asio::io_context& io_;
   Device& device_;
-  tcp::endpoint to_;
-  By by_;
-  std::shared_ptr<Way> way_;
-  boost::asio::steady_timer again_, silence_;
+  tcp::endpoint target_;
+  Transport transport_;
+  std::shared_ptr<Connection> connection_;
+  boost::asio::steady_timer reconnect_timer_, silence_timer_;
   // Without a word for so long the device takes its link for dead; 0: for three of the edge's heartbeats.
-  std::chrono::milliseconds patience_{0};
-  std::size_t connects_{0};
+  std::chrono::milliseconds silence_timeout_{0};
+  std::size_t connect_count_{0};
   bool stopped_{false};
   std::shared_ptr<bool> alive_{std::make_shared<bool>(true)};
 };
--- a/standins/proxy.cpp
+++ b/standins/proxy.cpp
@@ -9,26 +9,28 @@
 namespace asio = boost::asio;
 using boost::system::error_code;
 
-LinkScript draw_link(std::uint64_t seed, int roughness) {
+LinkScript random_link_script(std::uint64_t seed, int roughness) {
   pcg32 random(seed);
   LinkScript script;
   if (roughness == 0) return script;
   script.up.delay = script.down.delay =
       std::chrono::milliseconds(random(5 * static_cast<std::uint32_t>(roughness)));
-  script.down.rate = 2'000'000 >> (2 * roughness);
-  const std::uint32_t typical = 200'000 >> (2 * roughness);
-  LinkScript::Way& way = random(3) == 0 ? script.up : script.down;
-  way.at = 200 + random(2 * typical);
-  if (&way == &script.up) way.at = 200 + random(2000);
-  const std::uint32_t how = random(4);
-  way.how = how == 0 ? LinkScript::How::kHole : how == 1 ? LinkScript::How::kStall : LinkScript::How::kReset;
-  way.stall = std::chrono::milliseconds(50 + random(100));
+  script.down.bytes_per_second = 2'000'000 >> (2 * roughness);
+  const std::uint32_t typical_bytes = 200'000 >> (2 * roughness);
+  LinkScript::Direction& direction = random(3) == 0 ? script.up : script.down;
+  direction.fault_after_bytes = 200 + random(2 * typical_bytes);
+  if (&direction == &script.up) direction.fault_after_bytes = 200 + random(2000);
+  const std::uint32_t fault = random(4);
+  direction.fault = fault == 0   ? LinkScript::Fault::kBlackHole
+                    : fault == 1 ? LinkScript::Fault::kStall
+                                 : LinkScript::Fault::kReset;
+  direction.stall = std::chrono::milliseconds(50 + random(100));
   return script;
 }
 
-class Proxy::Pair : public std::enable_shared_from_this<Pair> {
+class Proxy::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Pair(Proxy& proxy, tcp::socket client, LinkScript script)
+  Connection(Proxy& proxy, tcp::socket client, LinkScript script)
       : proxy_(proxy),
         alive_(proxy.alive_),
         client_(std::move(client)),
@@ -36,14 +38,16 @@
         script_(script) {}
 
   void run() {
-    server_.async_connect(proxy_.to_, [self = shared_from_this()](error_code error) {
+    server_.async_connect(proxy_.target_, [self = shared_from_this()](error_code error) {
       if (error) return self->reset();
       self->server_.set_option(tcp::no_delay(true), error);
       self->pump(true);
       self->pump(false);
     });
   }
-  void hole_after(std::uint64_t more) { script_.down = {down_ + more, LinkScript::How::kHole, {}, {}, 0}; }
+  void black_hole_after(std::uint64_t more_bytes) {
+    script_.down = {bytes_down_ + more_bytes, LinkScript::Fault::kBlackHole, {}, {}, 0};
+  }
   void reset() {
     error_code ignored;
     for (tcp::socket* socket : {&client_, &server_}) {
@@ -62,7 +66,7 @@
                            if (!*self->alive_) return;
                            tcp::socket& to = up ? self->server_ : self->client_;
                            if (error) {
-                             if (self->hole_) return;
+                             if (self->black_hole_) return;
                              // As it ended on the one side it ends on the other.
                              error_code ignored;
                              if (error == asio::error::eof) {
@@ -73,32 +77,33 @@
                              return;
                            }
                            buffer->resize(count);
-                           self->passed(up, buffer, 0);
+                           self->forward(up, buffer, 0);
                          });
   }
 
-  void passed(bool up, const std::shared_ptr<std::vector<char>>& bytes, std::size_t from) {
-    LinkScript::Way& way = up ? script_.up : script_.down;
-    std::uint64_t& count = up ? up_ : down_;
-    if (hole_) return pump(up);
+  void forward(bool up, const std::shared_ptr<std::vector<char>>& bytes, std::size_t from) {
+    LinkScript::Direction& direction = up ? script_.up : script_.down;
+    std::uint64_t& count = up ? bytes_up_ : bytes_down_;
+    if (black_hole_) return pump(up);
     std::size_t size = bytes->size() - from;
-    bool event = false;
-    if (way.at != LinkScript::kNever && count + size >= way.at) {
-      size = static_cast<std::size_t>(way.at - count);
-      event = true;
+    bool fault_due = false;
+    if (direction.fault_after_bytes != LinkScript::kNever && count + size >= direction.fault_after_bytes) {
+      size = static_cast<std::size_t>(direction.fault_after_bytes - count);
+      fault_due = true;
     }
-    auto wait = way.delay;
-    if (way.rate > 0) wait += std::chrono::milliseconds(size * 1000 / way.rate);
-    const auto deliver = [self = shared_from_this(), up, bytes, from, size, event] {
+    auto wait = direction.delay;
+    if (direction.bytes_per_second > 0)
+      wait += std::chrono::milliseconds(size * 1000 / direction.bytes_per_second);
+    const auto deliver = [self = shared_from_this(), up, bytes, from, size, fault_due] {
       if (!*self->alive_) return;
       tcp::socket& to = up ? self->server_ : self->client_;
-      (up ? self->up_ : self->down_) += size;
-      (up ? self->proxy_.up_ : self->proxy_.down_) += size;
+      (up ? self->bytes_up_ : self->bytes_down_) += size;
+      (up ? self->proxy_.bytes_up_ : self->proxy_.bytes_down_) += size;
       asio::async_write(to, asio::buffer(bytes->data() + from, size),
-                        [self, up, bytes, from, size, event](error_code error, std::size_t) {
+                        [self, up, bytes, from, size, fault_due](error_code error, std::size_t) {
                           if (!*self->alive_) return;
                           if (error) return self->reset();
-                          if (event) return self->happen(up, bytes, from + size);
+                          if (fault_due) return self->inject_fault(up, bytes, from + size);
                           self->pump(up);
                         });
     };
@@ -109,24 +114,24 @@
     });
   }
 
-  void happen(bool up, const std::shared_ptr<std::vector<char>>& bytes, std::size_t from) {
-    LinkScript::Way& way = up ? script_.up : script_.down;
-    way.at = LinkScript::kNever;
+  void inject_fault(bool up, const std::shared_ptr<std::vector<char>>& bytes, std::size_t from) {
+    LinkScript::Direction& direction = up ? script_.up : script_.down;
+    direction.fault_after_bytes = LinkScript::kNever;
     error_code ignored;
-    switch (way.how) {
-      case LinkScript::How::kReset:
+    switch (direction.fault) {
+      case LinkScript::Fault::kReset:
         return reset();
-      case LinkScript::How::kHalfClose:
+      case LinkScript::Fault::kHalfClose:
         (up ? server_ : client_).shutdown(tcp::socket::shutdown_send, ignored);
         return;
-      case LinkScript::How::kHole:
-        hole_ = true;
+      case LinkScript::Fault::kBlackHole:
+        black_hole_ = true;
         return pump(up);
       default: {
-        auto timer = std::make_shared<asio::steady_timer>(proxy_.io_, way.stall);
+        auto timer = std::make_shared<asio::steady_timer>(proxy_.io_, direction.stall);
         timer->async_wait([self = shared_from_this(), timer, up, bytes, from](error_code error) {
           if (error || !*self->alive_) return;
-          if (from < bytes->size()) return self->passed(up, bytes, from);
+          if (from < bytes->size()) return self->forward(up, bytes, from);
           self->pump(up);
         });
       }
@@ -137,25 +142,28 @@
   std::shared_ptr<bool> alive_;
   tcp::socket client_, server_;
   LinkScript script_;
-  std::uint64_t up_{0}, down_{0};
-  bool hole_{false};
+  std::uint64_t bytes_up_{0}, bytes_down_{0};
+  bool black_hole_{false};
 };
 
-Proxy::Proxy(asio::io_context& io, tcp::endpoint to, Script script)
-    : io_(io), acceptor_(io, {asio::ip::address_v4::loopback(), 0}), to_(to), script_(std::move(script)) {
+Proxy::Proxy(asio::io_context& io, tcp::endpoint target, MakeScript make_script)
+    : io_(io),
+      acceptor_(io, {asio::ip::address_v4::loopback(), 0}),
+      target_(target),
+      make_script_(std::move(make_script)) {
   accept();
 }
 
 Proxy::~Proxy() {
   *alive_ = false;
-  for (const auto& held : pairs_) {
-    if (const auto pair = held.lock()) pair->reset();
+  for (const auto& weak : connections_) {
+    if (const auto connection = weak.lock()) connection->reset();
   }
 }
 
-void Proxy::hole_after(std::uint64_t more) {
-  for (const auto& held : pairs_) {
-    if (const auto pair = held.lock()) pair->hole_after(more);
+void Proxy::black_hole_after(std::uint64_t more_bytes) {
+  for (const auto& weak : connections_) {
+    if (const auto connection = weak.lock()) connection->black_hole_after(more_bytes);
   }
 }
 
@@ -164,10 +172,11 @@
     if (error || !*alive) return;
     error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    const auto pair = std::make_shared<Pair>(*this, std::move(socket), script_(count_++));
-    std::erase_if(pairs_, [](const auto& held) { return held.expired(); });
-    pairs_.push_back(pair);
-    pair->run();
+    const auto connection =
+        std::make_shared<Connection>(*this, std::move(socket), make_script_(connection_count_++));
+    std::erase_if(connections_, [](const auto& weak) { return weak.expired(); });
+    connections_.push_back(connection);
+    connection->run();
     accept();
   });
 }
