--- a/bench/edge_bench.cpp
+++ b/bench/edge_bench.cpp
@@ -1,4 +1,5 @@
-// What the edge holds up to and what it costs. Ratios and counts within this one run; the last line is JSON.
+// Measures the edge: answers under faults, reconnect storms, goodput and cost. Reports ratios and counts
+// within this one run; the last line is JSON.
 #include <malloc.h>
 
 #include <CLI/CLI.hpp>
@@ -41,7 +42,7 @@
           {"seeds_with_faults", seeds_with_faults}};
 }
 
-// Sessions without a connection's buffers: the logic's own memory, by what the allocator hands out.
+// Memory of the logic per session, as allocated on the heap; a connection's buffers are not included.
 json measure_idle_sessions() {
   constexpr std::size_t kSessions = 10'000;
   edge::EdgeSettings settings;
@@ -64,8 +65,8 @@
   return {{"bytes_per_idle_session", static_cast<double>(after - before) / kSessions}};
 }
 
-// Devices that all come back at once, in virtual time: how long the most urgent tenth waits, over one that
-// comes alone, for which a link's way there and back is all there is.
+// Devices that all reconnect at once, in virtual time: their admission times, and those of the tenth with the
+// nearest deadlines, over that of a device that connects alone, which takes one round trip.
 json measure_reconnect_storm(bool quick) {
   const std::uint64_t devices = quick ? 2000 : 10'000;
   edge::EdgeSettings settings;
@@ -144,7 +145,7 @@
   options.script->rows = 1;
   options.conf = site_conf();
   Site site(options);
-  // In turn and several times, so that what warms up or slows down burdens both alike.
+  // The two alternate for several rounds, so that warm-up and slow phases affect both alike.
   std::vector<double> seconds_per_load[2];
   json out;
   const int rounds = quick ? 3 : 9;
@@ -158,7 +159,7 @@
     Device device("acme", "tablet");
     EdgeClient client(site.io, device, site.server->edge_endpoint(), Transport::kWebSocketCbor);
     client.connect();
-    // The coordinator has a thread of its own: it is not to wait for the stand-ins' turns.
+    // The coordinator has its own thread, so that it does not wait for the event loop of the test doubles.
     std::thread coordinator([&] { site.server->io().run(); });
     const auto run_client_once = [&] { site.io.run_one_for(milliseconds(1)); };
     while (!device.welcomed()) run_client_once();
@@ -180,7 +181,7 @@
     }
     if (durable) {
       const auto* ledger = site.server->edge()->ledger();
-      // A transaction is one sync: so many durable records share it.
+      // Each transaction is one sync, so this is the number of durable records that share a sync.
       out["ledger_commits_per_sync"] =
           static_cast<double>(ledger->records()) / static_cast<double>(ledger->commits());
     }
@@ -193,7 +194,8 @@
 
 // ---- Goodput ----
 
-// A link that is cut after so many bytes down, exponentially distributed; some cuts are black holes.
+// A connection that is cut after an exponentially distributed number of bytes to the client; some cuts are
+// black holes.
 LinkScript link_script_with_cuts(std::uint64_t seed, double mean_bytes) {
   pcg32 random(seed);
   LinkScript script;
@@ -206,10 +208,10 @@
   return script;
 }
 
-// Devices that ask one report after the other for a set time, over a link that is cut every so many times the
-// length of an answer on the wire: rows of answers that were whole within their limit. With sessions, and
-// without: there each connection begins anew and asks again, under the same key, so that the engine does not
-// run twice for it.
+// Devices request one report after the other for a fixed time, over connections that are cut on average
+// `cuts_per_answer` times within the length of an answer on the wire. Returns the rows of the answers that
+// arrived whole within their limit. Without sessions each connection starts anew and sends the request again
+// under the same key, so that the engine does not run it twice.
 double complete_rows_delivered(double cuts_per_answer, bool sessions, bool quick, double answer_bytes) {
   Site::Options options;
   options.engines = 2;
@@ -252,7 +254,7 @@
 }
 
 json measure_goodput(bool quick) {
-  // What one answer is on the wire, its welcome and its frames included.
+  // Bytes of one answer on the wire, including the welcome and the framing.
   double answer_bytes = 0;
   {
     Site::Options options;
@@ -274,7 +276,8 @@
     const double rows_without_sessions = complete_rows_delivered(cuts, false, quick, answer_bytes),
                  rows_with_sessions = complete_rows_delivered(cuts, true, quick, answer_bytes);
     worst_link_ratio =
-        rows_with_sessions / std::max(rows_without_sessions, 600.0);  // one answer, where plain delivers none
+        rows_with_sessions /
+        std::max(rows_without_sessions, 600.0);  // the rows of one answer, if none arrive without sessions
     by_link.push_back({{"cuts_an_answer", cuts},
                        {"plain_rows", rows_without_sessions},
                        {"session_rows", rows_with_sessions},
@@ -288,12 +291,12 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"what the edge holds up to and what it costs"};
+  CLI::App app{"measures the edge under faults and load, and its cost"};
   bool quick = false;
   std::string program = STEPRAIL, before, only;
   app.add_flag("--quick", quick, "under 20 s");
   app.add_option("--program", program, "the program to measure");
-  app.add_option("--before", before, "an earlier build of it, to compare the ordinary path with");
+  app.add_option("--before", before, "an earlier build, to compare the cost of ordinary requests with");
   app.add_option("--only", only, "one part: simulated, idle, storm, ledger, goodput, cost");
   CLI11_PARSE(app, argc, argv);
   most_descriptors();
--- a/src/edge/codec.cpp
+++ b/src/edge/codec.cpp
@@ -39,7 +39,7 @@
   throw std::invalid_argument("unknown word '" + text.substr(0, 32) + "'");
 }
 
-// 64 bits do not fit into every reader's numbers: they go as hexadecimal text.
+// 64-bit numbers are written as hexadecimal text, as JSON readers may hold numbers as doubles.
 std::string hex(std::uint64_t number) {
   char text[17];
   const auto end = std::to_chars(text, text + 16, number, 16);
@@ -53,7 +53,7 @@
   return number;
 }
 
-// Stops before a document is built: deep nesting costs stack, and long containers memory.
+// Rejects input before a document is built from it: deep nesting costs stack, and long containers memory.
 class ShapeCheck : public nlohmann::json_sax<json> {
  public:
   bool null() override { return true; }
@@ -173,8 +173,8 @@
       out["count"] = body.count;
       out["last"] = body.last;
       if (body.text) {
-        // The rows' bytes are the engine's: where they are no text, they go as they can without being
-        // changed.
+        // The rows are the engine's bytes, which need not be UTF-8: each format carries them in a way that
+        // leaves them unchanged.
         if (format == Format::kCbor) {
           out["text"] = json::binary({body.text->begin(), body.text->end()});
         } else if (is_utf8(*body.text)) {
--- a/src/edge/codec.h
+++ b/src/edge/codec.h
@@ -1,4 +1,4 @@
-// Frames on the wire: JSON or CBOR, one object a frame. docs/protocol/edge.md has the fields.
+// Encodes and decodes frames: JSON or CBOR, one object per frame. docs/protocol/edge.md has the fields.
 #pragma once
 
 #include <string>
@@ -11,15 +11,15 @@
 
 enum class Format { kJson, kCbor };
 
-constexpr std::size_t kMaxFrameBytes = 256 << 10;  // bytes, once decompressed
+constexpr std::size_t kMaxFrameBytes = 256 << 10;  // after decompression
 constexpr int kMaxNesting = 6;
 
 std::string encode(const Frame& frame, Format format);
-// False where it is no frame: unreadable, nested too deep, or with fields of the wrong kind; `why` says
-// which.
+// Returns false if `bytes` are not a frame: malformed, nested too deep, or with fields of the wrong type;
+// `reason` says which.
 bool decode(std::string_view bytes, Format format, Frame& frame, std::string& reason);
 
-// What a device sends to the long poll, and what it gets.
+// The body of a long poll request, and of the response to it.
 struct Envelope {
   std::string link;
   Seq have{};
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -10,9 +10,10 @@
 namespace steprail::edge {
 namespace {
 
-// Of answers that the spool had no room for; beyond it their rows are not kept for a device that is away.
+// Total size of the results that are kept here because the spool did not take them; above it, the rows of
+// further such results are dropped.
 constexpr std::uint64_t kMaxInlineBytes = 4u << 20;
-// Readers of the spool's own service count up from 1.
+// Reader ids of the spool's own service count up from 1; this bit keeps the edge's apart.
 constexpr std::uint64_t kEdgeReaderBit = std::uint64_t{1} << 63;
 
 Sealer::Secret load_secret(const std::string& path) {
@@ -39,27 +40,31 @@
 }  // namespace
 
 Edge::Gauges::Gauges(Metrics& metrics)
-    : sessions(metrics.gauge("steprail_edge_sessions", "Sessions of devices.")),
-      live(metrics.gauge("steprail_edge_sessions_live", "Of these, those with a connection.")),
-      bytes(metrics.gauge("steprail_edge_in_flight_bytes", "Bytes of rows on their way to devices.")),
-      waiting(metrics.gauge("steprail_edge_waiting", "Devices that wait to be let in.")),
-      entries(metrics.gauge("steprail_edge_ledger_entries", "Outcomes known.")),
-      begun(metrics.gauge("steprail_edge_sessions_begun_total", "Sessions begun.")),
+    : sessions(metrics.gauge("steprail_edge_sessions", "Device sessions.")),
+      live(metrics.gauge("steprail_edge_sessions_live", "Device sessions that have a connection.")),
+      bytes(metrics.gauge("steprail_edge_in_flight_bytes", "Bytes of rows in flight to devices.")),
+      waiting(metrics.gauge("steprail_edge_waiting", "Devices waiting for admission.")),
+      entries(metrics.gauge("steprail_edge_ledger_entries", "Outcomes known to the ledger.")),
+      begun(metrics.gauge("steprail_edge_sessions_begun_total", "Sessions started.")),
       resumed(metrics.gauge("steprail_edge_resumed_total", "Sessions resumed by another connection.")),
-      taken_over(
-          metrics.gauge("steprail_edge_taken_over_total", "Of these, while the old one still looked alive.")),
-      expired(metrics.gauge("steprail_edge_expired_total", "Sessions given up.")),
-      turned_away(
-          metrics.gauge("steprail_edge_turned_away_total", "Connections refused or told to come later.")),
-      forged(metrics.gauge("steprail_edge_forged_total", "Tokens or acknowledgements that could not be.")),
-      suspected(metrics.gauge("steprail_edge_suspected_total", "Connections given up as dead.")),
-      requests(metrics.gauge("steprail_edge_requests_total", "Requests heard.")),
-      repeats(metrics.gauge("steprail_edge_repeats_total", "Of these, sent before.")),
+      taken_over(metrics.gauge("steprail_edge_taken_over_total",
+                               "Sessions resumed while the earlier connection still seemed alive.")),
+      expired(metrics.gauge("steprail_edge_expired_total", "Sessions that expired.")),
+      turned_away(metrics.gauge("steprail_edge_turned_away_total",
+                                "Connections refused or told to come back later.")),
+      forged(
+          metrics.gauge("steprail_edge_forged_total", "Tokens or acknowledgements that cannot be genuine.")),
+      suspected(
+          metrics.gauge("steprail_edge_suspected_total", "Connections closed because they seemed dead.")),
+      requests(metrics.gauge("steprail_edge_requests_total", "Requests received.")),
+      repeats(metrics.gauge("steprail_edge_repeats_total",
+                            "Client retries: requests received that were sent before.")),
       answers(metrics.gauge("steprail_edge_answers_total", "Final answers.")),
-      unknowns(metrics.gauge("steprail_edge_unknown_total", "Of these, 'outcome unknown'.")),
-      refused(metrics.gauge("steprail_edge_refused_total", "Messages turned away by name.")),
-      commits(metrics.gauge("steprail_edge_ledger_commits_total", "Transactions of the ledger.")),
-      records(metrics.gauge("steprail_edge_ledger_records_total", "Records in them.")) {}
+      unknowns(metrics.gauge("steprail_edge_unknown_total", "Final answers whose outcome is 'unknown'.")),
+      refused(metrics.gauge("steprail_edge_refused_total", "Messages turned away with an error code.")),
+      commits(metrics.gauge("steprail_edge_ledger_commits_total", "Ledger transactions.")),
+      records(
+          metrics.gauge("steprail_edge_ledger_records_total", "Records written in ledger transactions.")) {}
 
 Edge::Edge(Strand strand, Coordinator& coordinator, EventLog& log, Metrics& metrics, const Tables& tables,
            spool::Spool& spool, const EdgeConf& conf, std::uint64_t seed, std::unique_ptr<spool::Index> index)
@@ -71,7 +76,8 @@
       front_index_(coordinator.attach(*this)),
       timer_(strand),
       gauges_(metrics) {
-  if (sodium_init() < 0) throw std::runtime_error("no source of random numbers for tokens");
+  if (sodium_init() < 0)
+    throw std::runtime_error("no source of random numbers for tokens: libsodium cannot be initialized");
   const EdgeSettings settings = make_logic_settings(conf);
   std::uint64_t new_incarnation = 0;
   randombytes_buf(&new_incarnation, sizeof new_incarnation);
@@ -79,7 +85,7 @@
   recovery.incarnations = {new_incarnation};
   if (!conf.ledger_folder.empty() || index) {
     if (!index) {
-      spool::posix_files(conf.ledger_folder);  // makes the folder, or says why not
+      spool::posix_files(conf.ledger_folder);  // creates the folder, or throws with the reason
       index = spool::lmdb_index(conf.ledger_folder, conf.max_ledger_bytes);
     }
     ledger_ = std::make_unique<LedgerWriter>(
@@ -122,7 +128,7 @@
 
 void Edge::reconfigure(const EdgeConf& conf) { logic_->reconfigure(make_logic_settings(conf)); }
 
-// ---- Links ----
+// ---- Called by the fronts ----
 
 ConnId Edge::on_opened(std::shared_ptr<DeviceConnection> connection) {
   const ConnId conn = ++last_conn_id_;
@@ -149,8 +155,9 @@
   perform_actions();
 }
 
-// ---- Acts ----
+// ---- Actions of the logic ----
 
+// Performing an action can append further ones to actions_; the outermost call performs them all.
 void Edge::perform_actions() {
   if (std::exchange(performing_actions_, true)) return;
   drop_expired_results();
@@ -196,7 +203,7 @@
   query.group = table_group(action.body.statement);
   query.ticket = {action.request, 0, front_index_};
   if (coordinator_.unusable(query) != nullptr || coordinator_.knows(query.id)) {
-    Outcome outcome;  // it reaches neither the module nor an engine
+    Outcome outcome;  // refused here: neither the gateway nor an engine sees it
     outcome.how = Outcome::How::kRefused;
     return report_outcome(action.request, outcome);
   }
@@ -247,7 +254,7 @@
     outcome.rows = window.total_rows;
     outcome.bytes = window.bytes;
     if (inline_bytes_ + window.bytes > kMaxInlineBytes)
-      return;  // the device is told, though its rows are not kept
+      return;  // the device gets the outcome, but its rows are not kept
     inline_bytes_ += window.bytes;
     result.is_inline = true;
     result.inline_window = std::move(window);
@@ -271,7 +278,7 @@
       } else if (opened.how == spool::Opened::How::kWhole) {
         keep_inline(opened.window);
       } else {
-        // It ran, and its rows found no room.
+        // The query ran, but the spool had no room for its rows.
         outcome.how = Outcome::How::kFailed;
         outcome.again = running.repeatable;
       }
@@ -287,7 +294,7 @@
 void Edge::perform(const Fetch& action) {
   auto at = results_.find(action.request);
   if (at == results_.end()) {
-    // A result of a process before this one, which the spool may have found on disk.
+    // A result from an earlier process, which the spool may have recovered from disk.
     const auto view = spool_.logic().view(action.request);
     if (view && spool_.resume(action.request, static_cast<int>(view->tenant), action.request | kEdgeReaderBit)
                         .access == spool::Access::kGranted) {
@@ -302,7 +309,7 @@
   if (at == results_.end()) return deliver_rows(action, failed_window);
   const Result& result = at->second;
   if (result.is_inline) {
-    // All there is, from the row on: it is short.
+    // All rows from the requested one on: an inline result is small.
     spool::Window window = result.inline_window;
     std::uint64_t skip = action.row;
     while (skip > 0 && !window.slices.empty()) {
@@ -335,7 +342,8 @@
   perform_actions();
 }
 
-// The spool has let go of them by itself; what stands here is the handle, or a short answer's rows.
+// The spool drops expired results by itself; this drops the handles that are kept here, and the rows of
+// inline results.
 void Edge::drop_expired_results() {
   while (!result_expiries_.empty() && result_expiries_.top().first <= now()) {
     perform(Release{result_expiries_.top().second, 0});
--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -1,5 +1,5 @@
-// The edge put together: its logic, its ledger's disk, the links of its fronts, and the way to the
-// coordinator and the spool. On the coordinator's strand, the ledger's thread excepted.
+// Joins the edge's decision logic with the ledger on disk, the devices' connections, the coordinator and the
+// spool. Runs on the coordinator's strand, except for the ledger's thread.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -20,7 +20,8 @@
 
 namespace steprail::edge {
 
-// A device's connection, whatever it is made of. Frames leave in order; after close() nothing is heard of it.
+// A device's connection over any transport. Frames are sent in order. After close() the implementation makes
+// no further calls to the edge.
 class DeviceConnection {
  public:
   virtual ~DeviceConnection() = default;
@@ -30,8 +31,8 @@
 
 class Edge : public Front {
  public:
-  // Throws std::runtime_error where the ledger's folder or the secret's file cannot be used. `index` stands
-  // in for the folder in tests.
+  // Throws std::runtime_error if the ledger's folder or the secret file cannot be used. Tests pass `index` in
+  // place of the folder.
   Edge(Strand strand, Coordinator& coordinator, EventLog& log, Metrics& metrics, const Tables& tables,
        spool::Spool& spool, const EdgeConf& conf, std::uint64_t seed,
        std::unique_ptr<spool::Index> index = nullptr);
@@ -39,19 +40,19 @@
 
   void reconfigure(const EdgeConf& conf);
 
-  // ---- Links ----
+  // ---- Called by the fronts ----
   ConnId on_opened(std::shared_ptr<DeviceConnection> connection);
   void on_frame(ConnId conn, const Frame& frame);
   void on_closed(ConnId conn);
   void set_writable(ConnId conn, bool writable);
   void on_poll(ConnId conn, Seq have);
 
-  // ---- Front ----
+  // ---- Front: called by the coordinator ----
   void answer(const Ticket& ticket, Answer answer) override;
   void flush() override {}
 
-  // At SIGTERM: devices are told; settled() once all that was taken is answered and, as far as devices are
-  // there, has arrived.
+  // Called at SIGTERM: tells the devices. drained() is true once every accepted request is answered and the
+  // devices that are connected have received their answers.
   void drain();
   bool drained() const { return logic_->settled() && (!ledger_ || ledger_->idle()); }
   void update_metrics();
@@ -59,10 +60,10 @@
   const LedgerWriter* ledger() const { return ledger_.get(); }
 
  private:
-  struct Result {  // of a request that was served
+  struct Result {  // the rows of a served request
     int tenant{};
     std::string handle;
-    spool::Window inline_window;  // where the spool was full: all there is
+    spool::Window inline_window;  // all rows, if the spool had no room for them
     bool is_inline{false};
   };
   static Micros now();
@@ -86,7 +87,7 @@
   EventLog& log_;
   const Tables& tables_;
   spool::Spool& spool_;
-  int front_index_;  // among the coordinator's fronts
+  int front_index_;  // identifies the edge among the coordinator's fronts
   std::unique_ptr<EdgeLogic> logic_;
   std::unique_ptr<LedgerWriter> ledger_;
   std::unordered_map<ConnId, std::shared_ptr<DeviceConnection>> connections_;
@@ -97,7 +98,7 @@
   };
   std::unordered_map<RequestId, RunningRequest> running_;
   std::unordered_map<RequestId, Result> results_;
-  // When nobody may come for a result any more.
+  // When a result may be dropped because its request's deadline has passed; earliest first.
   using ResultExpiry = std::pair<Micros, RequestId>;
   std::priority_queue<ResultExpiry, std::vector<ResultExpiry>, std::greater<>> result_expiries_;
   std::uint64_t inline_bytes_{0};
--- a/src/edge/fronts.cpp
+++ b/src/edge/fronts.cpp
@@ -19,12 +19,13 @@
 
 constexpr std::uint32_t kMaxHeaderBytes = 8 << 10;
 constexpr std::size_t kMaxBodyBytes = kMaxFrameBytes;
-constexpr std::chrono::seconds kRequestTimeout{5};  // for a whole request, however slowly it drips
-constexpr std::chrono::seconds kIdleTimeout{60};    // between requests of one connection
-constexpr std::size_t kQueueHighWaterBytes =
-    64 << 10;  // bytes to one device, from which on it gets no more for now
+// For a whole header or body, so that slow senders cannot hold a connection.
+constexpr std::chrono::seconds kRequestTimeout{5};
+constexpr std::chrono::seconds kIdleTimeout{60};  // between requests of one connection
+// Queued for one device; above it the logic sends that device no more rows for now.
+constexpr std::size_t kQueueHighWaterBytes = 64 << 10;
 constexpr std::size_t kMaxQueueBytes = 4 << 20;
-constexpr Micros kPollLinkTimeout{60'000'000};  // without a poll the link is given up
+constexpr Micros kPollLinkTimeout{60'000'000};  // a link without a poll for so long is dropped
 constexpr std::size_t kMaxFramesPerPoll = 64, kMaxPollQueueFrames = 1024;
 constexpr std::chrono::milliseconds kAcceptPause{50}, kSweepInterval{1000};
 constexpr const char *kCborProtocol = "steprail.cbor", *kJsonProtocol = "steprail.json";
@@ -67,12 +68,12 @@
     deflate.server_enable = true;
     deflate.compLevel = 3;
     deflate.memLevel = 4;
-    // A window of its own for every message: memory for 10,000 idle devices would be the price of a better
-    // one.
+    // Every message is compressed on its own: a compression window kept for each connection would compress
+    // better, but would take memory for 10,000 idle devices.
     deflate.server_no_context_takeover = deflate.client_no_context_takeover = true;
     deflate.server_max_window_bits = deflate.client_max_window_bits = 12;
     stream_.set_option(deflate);
-    // Counted once it is decompressed: a bomb ends here.
+    // Limits the decompressed size, which stops decompression bombs.
     stream_.read_message_max(kMaxFrameBytes);
     stream_.binary(format_ == Format::kCbor);
     stream_.set_option(
@@ -94,7 +95,7 @@
     try {
       bytes = encode(frame, format_);
     } catch (const std::exception&) {
-      return fail_later();  // text that JSON cannot hold
+      return fail_later();  // text that cannot be represented in JSON
     }
     queued_bytes_ += bytes.size();
     queue_.push_back(std::move(bytes));
@@ -128,7 +129,7 @@
           decode({static_cast<const char*>(data.data()), data.size()}, self->format_, frame, reason);
       self->buffer_.consume(data.size());
       if (self->buffer_.capacity() > kMaxHeaderBytes) self->buffer_.shrink_to_fit();
-      if (self->closing_) return self->read();  // what comes after the close is nobody's
+      if (self->closing_) return self->read();  // frames received after close() are ignored
       if (!decoded) {
         self->send(error_frame("unreadable", reason, false));
         self->close();
@@ -190,7 +191,7 @@
 
 // ---- Long poll ----
 
-// A link made of requests: what is to be told waits for the next poll.
+// A device's connection over HTTP long poll: frames for the device are queued until its next poll.
 class Fronts::PollConnection : public DeviceConnection, public std::enable_shared_from_this<PollConnection> {
  public:
   using Respond = std::function<void(std::vector<Frame>)>;
@@ -205,8 +206,8 @@
   bool ended() const { return ended_; }
 
   void send(const Frame& frame) override {
-    // A device that sends and never polls gets no more than so much laid by; what it lacks is sent after its
-    // next poll, and acknowledgements are cumulative.
+    // Limits the queue for a device that sends but never polls. Dropped frames do no harm: messages are
+    // sent again after its next poll, and acknowledgements are cumulative.
     if (queue_.size() >= kMaxPollQueueFrames) return;
     queue_.push_back(frame);
     schedule_response();
@@ -216,11 +217,11 @@
     fronts_.poll_links_.end(name_);
     schedule_response();
   }
-  // Answers with what there is, as soon as there is something, or with nothing when the wait is over.
-  // Returns the poll's number, for left().
+  // Calls `respond` with the queued frames as soon as there are any, or with none when the wait ends.
+  // Returns the poll's number, for on_hang_up().
   std::uint64_t poll(Respond respond) {
     record_activity();
-    // One poll at a time: an earlier one was left by its device, or it would not ask again.
+    // Only one poll waits at a time: the device has abandoned an earlier one, or it would not poll again.
     if (respond_) std::exchange(respond_, nullptr)({});
     respond_ = std::move(respond);
     fronts_.poll_links_.waits(name_, true);
@@ -231,21 +232,22 @@
     if (!queue_.empty() || ended_) schedule_response();
     return poll_serial_;
   }
-  // The device has hung up on that poll: what is told next waits for another.
+  // The device has closed the connection of that poll: frames wait for its next one.
   void on_hang_up(std::uint64_t serial) {
     if (serial != poll_serial_ || !respond_) return;
     wait_timer_.cancel();
     respond_ = nullptr;
     fronts_.poll_links_.waits(name_, false);
   }
-  // What an earlier poll may have lost is transmitted anew, so that what waits here of it must go.
+  // The response to an earlier poll may have been lost, so its messages are sent again; those still queued
+  // would be duplicates.
   void drop_queued_messages() {
     std::erase_if(queue_, [](const Frame& frame) { return frame.type == Frame::Type::kMessage; });
   }
   std::vector<Frame> take_queue() { return std::exchange(queue_, {}); }
 
  private:
-  // At the end of the turn, so that frames that come together leave together.
+  // Responds at the end of the event loop iteration, so that frames queued together are sent together.
   void schedule_response() {
     if (!respond_ || std::exchange(response_scheduled_, true)) return;
     boost::asio::post(fronts_.strand_, [self = shared_from_this()] {
@@ -295,7 +297,7 @@
     parser_.emplace();
     parser_->header_limit(kMaxHeaderBytes);
     parser_->body_limit(kMaxBodyBytes);
-    // From the first byte on a request has its time, however slowly the others follow.
+    // The timeout covers the whole header, and then the whole body, however slowly their bytes arrive.
     stream_.expires_after(first ? kRequestTimeout : kIdleTimeout);
     http::async_read_header(
         stream_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
@@ -317,7 +319,7 @@
                                 "headers are too long", false, true);
     if (error == http::error::body_limit)
       return respond_with_error(http::status::payload_too_large, "body", "the body is too long", false, true);
-    // Cut, late or no HTTP at all: there is nobody to be told.
+    // The request was cut off, timed out or is not HTTP: there is nobody to respond to.
     error_code ignored;
     stream_.socket().close(ignored);
   }
@@ -356,7 +358,7 @@
     poll->record_activity();
     for (const Frame& frame : envelope.frames) fronts_.edge_.on_frame(poll->conn(), frame);
     if (target == "/edge/send") {
-      // Acknowledgements go back at once; everything else waits for the poll.
+      // The response confirms receipt only; frames for the device wait for its poll.
       return respond_with_frames(poll->name(), {});
     }
     poll->drop_queued_messages();
@@ -367,7 +369,7 @@
   void open_poll_link(const Envelope& envelope) {
     if (envelope.frames.size() != 1)
       return respond_with_error(http::status::bad_request, "hello-first", "one hello opens a link", false);
-    // A link outlives the connection that opened it: their number has a bound of its own.
+    // A link outlives the connection that opened it, so links have a limit of their own.
     const PollLinks::Room room = fronts_.poll_links_.room(fronts_.limits_.max_connections);
     if (!room.is)
       return respond_with_error(http::status::service_unavailable, "links", "no room for another link now",
@@ -392,14 +394,14 @@
       self->poll_waiting_ = false;
       if (*self->alive_) self->respond_with_frames(name, std::move(frames));
     });
-    // Nothing is read while a poll waits, so that a device that hangs up would keep its place until the wait
-    // is over.
+    // Nothing is read while a poll waits, so without this a device that closes its connection would keep it
+    // occupied until the wait ends.
     stream_.socket().async_wait(tcp::socket::wait_read, [self, poll, serial](error_code error) {
       if (error || !*self->alive_ || !self->poll_waiting_) return;
       char byte = 0;
       error_code ended;
       self->stream_.socket().receive(boost::asio::buffer(&byte, 1), tcp::socket::message_peek, ended);
-      if (!ended || ended == boost::asio::error::would_block) return;  // its next request is here already
+      if (!ended || ended == boost::asio::error::would_block) return;  // the next request has arrived already
       poll->on_hang_up(serial);
       self->stream_.socket().close(ended);
     });
@@ -451,7 +453,7 @@
   bool keep_alive_{true}, poll_waiting_{false};
 };
 
-// ---- The listener ----
+// ---- Listener ----
 
 Fronts::Fronts(Strand strand, EventLog& log, Edge& edge, Limits limits)
     : strand_(strand),
--- a/src/edge/fronts.h
+++ b/src/edge/fronts.h
@@ -1,4 +1,4 @@
-// The edge's two fronts on one listener: WebSocket, and HTTP/1.1 long poll for links that let nothing else
+// The edge's two fronts on one listener: WebSocket, and HTTP/1.1 long poll for networks that let nothing else
 // through. docs/protocol/edge.md has paths, subprotocols and limits.
 #pragma once
 
@@ -28,10 +28,10 @@
   Fronts(const Fronts&) = delete;
   Fronts& operator=(const Fronts&) = delete;
 
-  // Throws boost::system::system_error where the address cannot be had.
+  // Throws boost::system::system_error if the address cannot be bound.
   tcp::endpoint listen(const tcp::endpoint& at);
   void set_limits(const Limits& limits) { limits_ = limits; }
-  // Nothing is left to be written.
+  // True while no write to a device is in progress.
   bool all_written() const;
   std::size_t connections() const { return connections_; }
   std::size_t poll_link_count() const { return poll_links_.size(); }
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -9,8 +9,8 @@
   using Given = conf::Directive::Given;
   conf::Block& block = schema.block(
       "edge",
-      "Devices on poor links, over WebSocket and HTTP long poll: sessions outlive connections, and a load "
-      "that is sent again gets its first outcome. Needs the block 'spool'.");
+      "Serves devices on poor links over WebSocket and HTTP long poll: sessions outlive connections, "
+      "and a load that is sent again gets its first outcome. Needs the block 'spool'.");
   block.present([&config] { config.enabled = true; });
   const auto time = [&](const char* name, const char* help, double min, double max, const char* default_value,
                         Micros& target) {
@@ -39,15 +39,15 @@
                  std::string();
         });
   };
-  block.directive("listen", "where devices connect")
+  block.directive("listen", "the address that devices connect to")
       .address("ADDRESS")
       .required()
       .take([&config](const Given& given) { return config.listen = given.text(0), std::string(); });
-  block.directive("home", "this coordinator's name in its devices' tokens; every one has its own")
+  block.directive("home", "this coordinator's name in its devices' tokens; no two coordinators share one")
       .text("NAME")
       .required()
       .take([&config](const Given& given) { return config.logic.home = given.text(0), std::string(); });
-  block.directive("other", "another home, and where its devices reach it")
+  block.directive("other", "another home, and the address at which its devices reach it")
       .text("NAME")
       .text("ADDRESS")
       .repeated()
@@ -57,22 +57,24 @@
                    : "home '" + given.text(0) + "' is given twice";
       });
   block
-      .directive("gone",
-                 "a home that will never come back: its devices begin anew here, and a load first sent to "
-                 "it is answered 'unknown'")
+      .directive(
+          "gone",
+          "a home that will never come back: its devices start new sessions here, and a load first sent "
+          "to it is answered 'unknown'")
       .text("NAME")
       .repeated()
       .take([&config](const Given& given) { return config.logic.gone.insert(given.text(0)), std::string(); });
   block
       .directive("secret",
-                 "a file of 32 bytes or more that all homes share; without it tokens hold for this process")
+                 "a file of at least 32 bytes that all homes share; without it tokens are valid for this "
+                 "process only")
       .path("FILE")
-      .standard("one of this process's own")
+      .standard("random, the process's own")
       .take([&config](const Given& given) { return config.secret_file = given.text(0), std::string(); });
   block
       .directive("ledger",
-                 "a folder for the outcomes of loads, and the size it may grow to; without it they are in "
-                 "memory, and after a restart 'unknown'")
+                 "a folder for the outcomes of loads, and its maximum size; without it they are kept in "
+                 "memory, and are 'unknown' after a restart")
       .path("FOLDER")
       .bytes("SIZE", kMiB, 64 * kGiB)
       .standard("in memory")
@@ -84,34 +86,41 @@
       });
   time("ledger-keep", "how long the outcome of a load is known; later its key is refused as too old",
        60 * kSecond, 720 * kHour, "24h", config.logic.ledger.keep);
-  count("ledger-entries", "outcomes known at a time; beyond, requests are refused", 100, 1e8, "1000000",
-        config.logic.ledger.entries_most);
-  time("session-keep", "how long a session lives without a connection", kSecond, 48 * kHour, "10m",
+  count("ledger-entries", "maximum number of outcomes known at a time; beyond it, requests are refused", 100,
+        1e8, "1000000", config.logic.ledger.entries_most);
+  time("session-keep", "how long a session is kept without a connection", kSecond, 48 * kHour, "10m",
        config.logic.session_keep);
-  time("poll-wait", "how long a poll waits for something to tell", kSecond / 10, 120 * kSecond, "25s",
+  time("poll-wait", "how long a poll waits for something to send", kSecond / 10, 120 * kSecond, "25s",
        config.poll_wait);
-  count("sessions", "sessions at a time", 1, 1e6, "20000", config.logic.sessions_most);
-  count("sessions-tenant", "of one tenant", 1, 1e6, "20000", config.logic.sessions_tenant);
-  count("sessions-device", "of one device; the one left alone for longest gives way", 1, 64, "4",
+  count("sessions", "maximum number of sessions at a time", 1, 1e6, "20000", config.logic.sessions_most);
+  count("sessions-tenant", "maximum number of sessions of one tenant", 1, 1e6, "20000",
+        config.logic.sessions_tenant);
+  count("sessions-device",
+        "maximum number of sessions of one device; the one left unused for longest is evicted", 1, 64, "4",
         config.logic.sessions_device);
-  count("connections", "connections at a time", 1, 65536, "256", config.max_connections);
-  count("requests", "requests of one session open at a time", 1, 1024, "32", config.logic.asks_most);
-  bytes("window", "rows on the way to one device", 4 * kKiB, 16 * kMiB, "128k", config.logic.window);
-  bytes("page-least", "rows in one message, on the slowest links", 256, 64 * kKiB, "4k",
+  count("connections", "maximum number of connections at a time", 1, 65536, "256", config.max_connections);
+  count("requests", "maximum number of requests of one session open at a time", 1, 1024, "32",
+        config.logic.asks_most);
+  bytes("window", "maximum size of the rows in flight to one device", 4 * kKiB, 16 * kMiB, "128k",
+        config.logic.window);
+  bytes("page-least", "size of the rows in one message on the slowest links", 256, 64 * kKiB, "4k",
         config.logic.page_least);
-  bytes("page-most", "rows in one message, on the fastest", kKiB, 128 * kKiB, "64k", config.logic.page_most);
-  bytes("memory", "rows on the way to all devices", kMiB, 16 * kGiB, "32m", config.logic.memory.most);
-  count("rate", "devices let in a second, when many come at once", 1, 1e6, "500", config.logic.gate.rate);
-  count("burst", "let in at once before that rate holds", 1, 1e6, "100", config.logic.gate.burst);
-  count("waiting", "devices that may wait to be let in; the others are told when to come back", 1, 1e6,
-        "1000", config.logic.gate.waiting_most);
-  time("heartbeat-least", "between heartbeats, on the fastest links", kSecond / 10, 60 * kSecond, "2s",
-       config.logic.heartbeat_least);
-  time("heartbeat-most", "on the slowest", kSecond / 5, 600 * kSecond, "30s", config.logic.heartbeat_most);
+  bytes("page-most", "size of the rows in one message on the fastest connections", kKiB, 128 * kKiB, "64k",
+        config.logic.page_most);
+  bytes("memory", "maximum size of the rows in flight to all devices", kMiB, 16 * kGiB, "32m",
+        config.logic.memory.most);
+  count("rate", "devices admitted a second when many connect at once", 1, 1e6, "500", config.logic.gate.rate);
+  count("burst", "devices admitted at once before the rate applies", 1, 1e6, "100", config.logic.gate.burst);
+  count("waiting", "maximum number of devices waiting for admission; others are told when to come back", 1,
+        1e6, "1000", config.logic.gate.waiting_most);
+  time("heartbeat-least", "interval between heartbeats on the fastest links", kSecond / 10, 60 * kSecond,
+       "2s", config.logic.heartbeat_least);
+  time("heartbeat-most", "interval between heartbeats on the slowest connections", kSecond / 5, 600 * kSecond,
+       "30s", config.logic.heartbeat_most);
   using Wrong = conf::Block::Wrong;
   block.rule([&config]() -> Wrong {
     if (config.logic.page_least <= config.logic.page_most) return {};
-    return {"page-least", "the least page is larger than the most"};
+    return {"page-least", "the minimum page is larger than the maximum"};
   });
   block.rule([&config]() -> Wrong {
     if (config.logic.window >= config.logic.page_most) return {};
@@ -119,16 +128,16 @@
   });
   block.rule([&config]() -> Wrong {
     if (config.logic.heartbeat_least <= config.logic.heartbeat_most) return {};
-    return {"heartbeat-least", "the least pause is longer than the most"};
+    return {"heartbeat-least", "the minimum pause between heartbeats is longer than the maximum"};
   });
   block.rule([&config]() -> Wrong {
     if (!config.logic.homes.contains(config.logic.home) && !config.logic.gone.contains(config.logic.home))
       return {};
-    return {"home", "this home is named among the others"};
+    return {"home", "this home is also named by 'other' or 'gone'"};
   });
   block.rule([&config]() -> Wrong {
     if (config.secret_file.empty() && (!config.logic.homes.empty() || !config.logic.gone.empty()))
-      return {"home", "homes that know of each other must share a 'secret'"};
+      return {"home", "homes that name each other must share a 'secret'"};
     return {};
   });
 }
--- a/src/edge/settings.h
+++ b/src/edge/settings.h
@@ -1,4 +1,4 @@
-// What the operator's file says of the edge, and its registration there.
+// The edge's settings in the operator's file, and the registration of their directives.
 #pragma once
 
 #include <map>
@@ -13,8 +13,8 @@
 struct EdgeConf {
   bool enabled{false};
   std::string listen;
-  std::string secret_file;    // empty: a secret of this process's own
-  std::string ledger_folder;  // empty: the ledger is in memory
+  std::string secret_file;    // empty: each process generates its own
+  std::string ledger_folder;  // empty: the ledger is kept in memory
   std::uint64_t max_ledger_bytes{256u << 20};
   Micros poll_wait{25'000'000};
   std::size_t max_connections{256};
--- a/standins/edge_client.cpp
+++ b/standins/edge_client.cpp
@@ -89,7 +89,7 @@
   bool connected_{false}, writing_{false};
 };
 
-// One connection polls; what is to be said goes with the next poll, or by a send of its own meanwhile.
+// One connection polls and carries frames with each poll; a second one sends frames while the poll waits.
 class EdgeClient::PollConnection : public Connection, public std::enable_shared_from_this<PollConnection> {
  public:
   explicit PollConnection(EdgeClient& client)
@@ -148,7 +148,7 @@
     }
     return true;
   }
-  // By a connection of its own, as the other one waits for its poll.
+  // Uses the second connection, as the first one waits for its poll.
   void send_queued() {
     if (sending_ || queue_.empty() || lost_) return;
     sending_ = true;
@@ -251,7 +251,7 @@
 
 void EdgeClient::on_lost(const Connection* from) {
   if (!connection_ || from != connection_.get()) return;
-  // Not at once: its own handler may be what brings us here.
+  // Posted, as this may be called from the connection's own handler.
   boost::asio::post(io_, [connection = std::exchange(connection_, nullptr)] { connection->close(); });
   silence_timer_.cancel();
   if (stopped_) return;
--- a/standins/edge_client.h
+++ b/standins/edge_client.h
@@ -1,5 +1,5 @@
-// A stand-in device over real links: the session logic of device.h behind a WebSocket or a long poll, which
-// comes back by itself when its link is lost.
+// A test device over real connections: the session logic of device.h over WebSocket or long poll, which
+// reconnects by itself when its connection is lost.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,11 +23,11 @@
   EdgeClient& operator=(const EdgeClient&) = delete;
 
   void connect();
-  // Asks for something; it leaves as soon as there is a session.
+  // Queues a request, which is sent as soon as there is a session. Returns its key.
   std::uint64_t send_request(const std::string& verb, const std::string& statement, std::int64_t limit_ms);
-  void send_pending();     // what the device has to say
-  void drop_connection();  // its link breaks, and it comes back
-  void stop();             // and stays away
+  void send_pending();     // sends the frames that the device has ready
+  void drop_connection();  // breaks the connection; the device reconnects
+  void stop();             // breaks the connection; the device does not reconnect
   void set_transport(Transport transport) { transport_ = transport; }
   void set_target(const tcp::endpoint& target) { target_ = target; }
   std::size_t connect_count() const { return connect_count_; }
@@ -53,7 +53,8 @@
   Transport transport_;
   std::shared_ptr<Connection> connection_;
   boost::asio::steady_timer reconnect_timer_, silence_timer_;
-  // Without a word for so long the device takes its link for dead; 0: for three of the edge's heartbeats.
+  // After so long without a frame the device treats its connection as dead; 0: after three of the edge's
+  // heartbeats, but at least 3 s.
   std::chrono::milliseconds silence_timeout_{0};
   std::size_t connect_count_{0};
   bool stopped_{false};
--- a/standins/proxy.cpp
+++ b/standins/proxy.cpp
@@ -67,7 +67,7 @@
                            tcp::socket& to = up ? self->server_ : self->client_;
                            if (error) {
                              if (self->black_hole_) return;
-                             // As it ended on the one side it ends on the other.
+                             // Ends the other side in the same way: by an orderly close or by a reset.
                              error_code ignored;
                              if (error == asio::error::eof) {
                                to.shutdown(tcp::socket::shutdown_send, ignored);
--- a/standins/proxy.h
+++ b/standins/proxy.h
@@ -1,5 +1,5 @@
-// A stand-in for a link: a loopback proxy that delays, slows, stalls, cuts, half-closes or swallows what
-// passes, as a script says for each connection, or as a seed draws it.
+// A loopback TCP proxy for tests that delays, throttles, stalls, cuts or half-closes each connection, or
+// turns it into a black hole, as a fixed or random script says.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,22 +17,22 @@
 struct LinkScript {
   static constexpr std::uint64_t kNever = ~std::uint64_t{0};
   enum class Fault {
-    kReset,      // both sides hear a reset
-    kHalfClose,  // this direction ends, the other goes on
-    kBlackHole,  // from here on everything is swallowed, both ways, and the connection stays open
-    kStall       // nothing passes for a while, then it goes on
+    kReset,      // resets both sides
+    kHalfClose,  // ends this direction only
+    kBlackHole,  // discards everything from here on, in both directions, and keeps the connection open
+    kStall       // forwards nothing for a while, then continues
   };
   struct Direction {
-    std::uint64_t fault_after_bytes{kNever};  // after so many bytes
+    std::uint64_t fault_after_bytes{kNever};  // in this direction
     Fault fault{Fault::kReset};
     std::chrono::milliseconds stall{0};
     std::chrono::milliseconds delay{0};
-    std::uint64_t bytes_per_second{0};  // bytes a second; 0: all there are
+    std::uint64_t bytes_per_second{0};  // 0: unlimited
   };
-  Direction up, down;  // from the client, to the client
+  Direction up, down;  // from the client; to the client
 };
 
-// A link's character drawn from a seed: `roughness` from 0 (good) to 4 (hardly there).
+// A random script for the seed: `roughness` from 0 (no faults) to 4 (hardly usable).
 LinkScript random_link_script(std::uint64_t seed, int roughness);
 
 class Proxy {
@@ -45,8 +45,9 @@
   tcp::endpoint endpoint() const { return acceptor_.local_endpoint(); }
   void set_target(const tcp::endpoint& target) { target_ = target; }
   std::size_t connection_count() const { return connection_count_; }
-  // Every connection that is open now swallows everything, both ways, once so many more bytes have come down.
-  // What has come down until then varies: a welcome's seal is random, and compressed.
+  // Turns every connection that is open now into a black hole once so many more bytes have been sent to the
+  // client. Counted from now, as the size of what was sent before varies: the token in a welcome frame is
+  // random, and the frame is compressed.
   void black_hole_after(std::uint64_t more_bytes);
   std::uint64_t bytes_up() const { return bytes_up_; }
   std::uint64_t bytes_down() const { return bytes_down_; }
--- a/tests/edge/story_test.cpp
+++ b/tests/edge/story_test.cpp
@@ -1,5 +1,5 @@
-// Stories of the edge over loopback: devices on both fronts, links that are cut, stalled and swallowed, and
-// processes that are killed.
+// Integration tests of the edge over loopback: devices on both fronts, connections that are cut, stalled or
+// turned into black holes, and processes that are killed.
 #include <boost/asio/write.hpp>
 #include <boost/beast/core.hpp>
 #include <boost/beast/websocket.hpp>
@@ -30,7 +30,7 @@
   return options;
 }
 
-// The ledger is durable, on that disk.
+// With a durable ledger on the given disk.
 Site::Options options_with_ledger_on(const std::shared_ptr<FaultyDisk>& disk) {
   Site::Options o = site_options("  ledger /unused 4m\n");
   o.ledger = [disk] { return disk->index(); };
@@ -45,7 +45,8 @@
   EdgeClient client;
 };
 
-// The engine knows a statement's request by the edge's own id: runs are counted over all of them.
+// The engine sees the ids that the edge gives to requests, not the devices' keys, so runs are summed over all
+// ids.
 int total_runs(const Site& site) {
   int sum = 0;
   for (const auto& [_, runs] : *site.run_counts) sum += runs;
@@ -57,7 +58,7 @@
 
 }  // namespace
 
-TEST_CASE("edge: a request over each front is answered once, its rows byte for byte") {
+TEST_CASE("edge: a request over each front is answered once, and its rows arrive byte for byte") {
   for (const Transport transport : {Transport::kWebSocketJson, Transport::kWebSocketCbor, Transport::kPoll}) {
     Site site(site_options());
     DeviceFixture tablet(site, "tablet", transport);
@@ -67,7 +68,7 @@
     CHECK(tablet.request(key).outcome.how == OutcomeKind::kServed);
     CHECK(tablet.request(key).finals == 1);
     CHECK(tablet.request(key).rows == whole(*site.script, last_request_id(site), 1));
-    // Let go by the last acknowledgement, long before its time is over.
+    // The last acknowledgement releases the result, long before it would expire.
     REQUIRE(site.until([&] { return site.server->spool()->bytes_held() == 0; }, std::chrono::seconds(8)));
     CHECK(site.server->edge()->logic().memory().used() == 0);
     CHECK(site.server->broken_invariants() == 0);
@@ -75,14 +76,15 @@
 }
 
 TEST_CASE(
-    "edge: cut at every byte of a load's request and of its answer, it runs once and is answered once") {
+    "edge: a load whose connection is cut at any byte of its request or answer runs once and is answered "
+    "once") {
   Site::Options o = site_options("  connections 1000\n");
   o.engines = 4;
   o.change = [](nlohmann::json& config) { config["limits"]["sockets"] = 4096; };
   Site site(o);
   site.script->rows = 4;
   for (const Transport transport : {Transport::kWebSocketJson, Transport::kPoll}) {
-    // How much a whole exchange takes, either way.
+    // Measures the bytes of a whole exchange in each direction.
     std::uint64_t bytes_up = 0, bytes_down = 0;
     {
       Proxy proxy(site.io, site.server->edge_endpoint(), [](std::size_t) { return LinkScript{}; });
@@ -100,7 +102,7 @@
       if (at <= bytes_up + 20) cuts.emplace_back(at, true);
       if (at <= bytes_down + 20) cuts.emplace_back(at, false);
     }
-    // Some dozens of devices at a time, each with a cut of its own.
+    // Runs the devices in batches, each device with its own cut.
     constexpr std::size_t kBatchSize = 90;
     for (std::size_t from = 0; from < cuts.size(); from += kBatchSize) {
       std::vector<std::unique_ptr<Proxy>> proxies;
@@ -128,9 +130,10 @@
       }));
       CHECK(total_runs(site) == runs_before + static_cast<int>(to - from));
       for (std::size_t i = from; i < to; ++i) {
-        INFO("cut at byte " << cuts[i].first << (cuts[i].second ? " of the way up" : " of the way down"));
+        INFO("cut at byte " << cuts[i].first
+                            << (cuts[i].second ? " sent by the device" : " sent to the device"));
         const Device::Request& request = tablets[i - from]->request(1);
-        INFO("code '" << request.code << "', rows told " << request.outcome.rows);
+        INFO("code '" << request.code << "', rows reported " << request.outcome.rows);
         CHECK(request.finals == 1);
         CHECK(request.outcome.how == OutcomeKind::kServed);
         CHECK(request.have_rows == 4);
@@ -140,15 +143,16 @@
   }
 }
 
-// Guards against links that nobody polls any more, and polls whose device has hung up, keeping others out.
-TEST_CASE("edge: devices that come and go by long poll leave no places taken") {
+// Guards against links that are no longer polled, and polls whose device has closed its connection, taking up
+// the room of other devices.
+TEST_CASE("edge: devices that come and go by long poll free their connections and links") {
   Site site(site_options("  connections 12\n"));
   for (int i = 0; i < 60; ++i) {
     DeviceFixture tablet(site, "tablet" + std::to_string(i), Transport::kPoll);
     tablet.client.connect();
     tablet.client.send_request("report", "select 1 from a_1.t", 9000);
     REQUIRE(site.until([&] { return tablet.device.idle(); }, std::chrono::seconds(3)));
-    // One that comes back leaves a link of its own behind.
+    // A device that reconnects abandons its earlier link.
     if (i % 3 == 0) tablet.client.drop_connection();
     if (i % 3 == 0) REQUIRE(site.until([&] { return tablet.device.resumes > 0; }, std::chrono::seconds(3)));
   }
@@ -156,7 +160,7 @@
 }
 
 TEST_CASE(
-    "edge: a stall longer than the give-up time ends the request once, and the device hears of it later") {
+    "edge: a stall longer than the deadline ends the request once, and the device gets the outcome later") {
   Site::Options o = site_options("  heartbeat-least 200ms\n  heartbeat-most 1s\n");
   o.script->fault = [](const Moment& m) { return m.at == Moment::At::kAck ? Fault::kSilent : Fault::kNone; };
   Site site(o);
@@ -176,10 +180,10 @@
   CHECK(total_runs(site) == 1);
 }
 
-// The device's own patience plays no part here: it would wait for longer than the story lasts.
+// The device's own silence timeout is longer than the test, so only the edge can detect the dead connection.
 TEST_CASE(
-    "edge: a link that swallows everything is given up by the edge's own suspicion, and its rows' memory "
-    "comes back") {
+    "edge: the edge itself detects a connection that is a black hole, closes it and frees the memory of its "
+    "rows") {
   Site::Options o = site_options("  heartbeat-least 100ms\n  heartbeat-most 300ms\n");
   o.script->runs_for = milliseconds(200);
   o.script->rows = 3000;
@@ -190,14 +194,14 @@
   tablet.client.set_silence_timeout(std::chrono::minutes(10));
   tablet.client.connect();
   REQUIRE(site.until([&] { return tablet.device.welcomed(); }));
-  proxy.black_hole_after(2000);  // some of the rows still pass
+  proxy.black_hole_after(2000);  // some of the rows still get through
   const auto key = tablet.client.send_request("report", "select * from lessons_3.hours", 15000);
   REQUIRE(site.until([&] { return site.server->edge()->logic().memory().used() > 0; }));
   REQUIRE(site.until([&] { return site.server->edge()->logic().counts().suspected == 1; }));
   CHECK(site.server->edge()->logic().live() == 0);
   CHECK(site.server->edge()->logic().memory().used() == 0);
   CHECK_FALSE(tablet.device.idle());
-  // It comes back by itself later, and goes on where the link broke off.
+  // The device reconnects later and continues where the connection broke.
   tablet.client.drop_connection();
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
   CHECK(tablet.request(key).finals == 1);
@@ -206,11 +210,12 @@
   CHECK(total_runs(site) == 1);
 }
 
-TEST_CASE("edge: sent again by a second connection and by the other front, a load runs once") {
+TEST_CASE("edge: a load sent again by a second connection and over the other front runs once") {
   Site::Options o = site_options();
   o.script->runs_for = milliseconds(150);
   Site site(o);
-  // Two lives of one device that know nothing of each other, as after it has lost its memory: the same key.
+  // Two instances of one device without shared state, as after the device has lost its memory; both use the
+  // same key.
   DeviceFixture first(site, "tablet"), second(site, "tablet", Transport::kPoll);
   first.client.connect();
   const auto key = first.client.send_request("load", "insert into lessons_3.hours", 9000);
@@ -221,7 +226,7 @@
   CHECK(second.request(key).outcome.how == OutcomeKind::kServed);
   CHECK(second.request(key).finals == 1);
   CHECK(total_runs(site) == 1);
-  // With another statement the key is refused by name.
+  // The key with another statement is refused with its own code.
   DeviceFixture third(site, "tablet");
   third.client.connect();
   third.client.send_request("load", "delete from lessons_3.hours", 9000);
@@ -248,7 +253,7 @@
   for (const auto& [_, request] : tablet.device.requests()) CHECK(request.finals == 1);
 }
 
-TEST_CASE("edge: killed between dispatch and answer, the load's outcome is unknown once and for good") {
+TEST_CASE("edge: when the process is killed between dispatch and answer, the load's outcome stays unknown") {
   for (const bool durable : {true, false}) {
     Site::Options o = site_options();
     o.script->fault = [](const Moment& m) {
@@ -269,8 +274,8 @@
     REQUIRE(site.until([&] { return tablet.device.idle(); }));
     CHECK(tablet.request(key).outcome.how == OutcomeKind::kUnknown);
     CHECK(tablet.request(key).finals == 1);
-    // Another life of the device asks again, after another restart: nothing else is ever said, and nothing
-    // runs.
+    // Another instance of the device sends the load again after another restart: the outcome stays the same,
+    // and nothing runs.
     site.kill();
     site.start();
     DeviceFixture restarted(site, "tablet");
@@ -287,8 +292,8 @@
 }
 
 TEST_CASE(
-    "edge: killed after the outcome was recorded, the next process tells it, with rows where a disk has "
-    "them") {
+    "edge: when the process is killed after the outcome was recorded, the next one reports it, with the rows "
+    "from disk") {
   Site::Options o = site_options();
   Site site(o);
   site.kill();
@@ -297,7 +302,7 @@
                 " 64m\n  disk-above 1k\n}\nedge {\n  listen 127.0.0.1:0\n  home one\n  ledger " +
                 site.folder.path("ledger") + " 4m\n}\n");
   site.start();
-  // The answer is lost on its way: the link swallows it.
+  // The answer is lost in a black hole.
   Proxy proxy(site.io, site.server->edge_endpoint(), [](std::size_t) { return LinkScript{}; });
   DeviceFixture tablet(site, "tablet");
   tablet.client.set_target(proxy.endpoint());
@@ -321,7 +326,7 @@
   CHECK(total_runs(site) == 1);
 }
 
-TEST_CASE("edge: a load that cannot be recorded is refused and not run, a lookup runs all the same") {
+TEST_CASE("edge: a load that cannot be recorded is refused and not run, while a lookup still runs") {
   auto disk = std::make_shared<FaultyDisk>();
   Site site(options_with_ledger_on(disk));
   disk->fail_at(disk->operations() + 1, FaultyDisk::Fault::kNoSpace);
@@ -332,7 +337,7 @@
   CHECK(tablet.request(first_load).code == "not-recorded");
   CHECK(tablet.request(first_load).outcome.again);
   CHECK(total_runs(site) == 0);
-  // There is room again; after a write that has failed outright there is none for good.
+  // A full disk is a passing fault: the next load is recorded. After an I/O error no further load is, ever.
   const auto second_load = tablet.client.send_request("load", "insert into lessons_3.hours", 9000);
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
   CHECK(tablet.request(second_load).outcome.how == OutcomeKind::kServed);
@@ -360,8 +365,7 @@
   CHECK(total_runs(site) == 1);
 }
 
-TEST_CASE(
-    "edge: a session that lives elsewhere is shown the way, one whose home is gone runs no load again") {
+TEST_CASE("edge: a session of another home is redirected, and one whose home is gone runs no load again") {
   Site site(site_options());
   const std::string secret = site.folder.path("secret");
   site.folder.write("secret", std::string(40, 's'));
@@ -384,7 +388,8 @@
   REQUIRE(site.until([&] { return !moved.device.home.empty(); }));
   CHECK(moved.device.home == "10.0.0.2:7071");
   moved.client.stop();
-  // The operator says that it is gone for good: the device begins anew, its loads of then are not run here.
+  // The operator declares that home gone for good: the device starts a new session, and its loads from before
+  // are not run here.
   start("one", "  other two 10.0.0.2:7071\n  gone two\n");
   tablet.client.set_target(site.server->edge_endpoint());
   tablet.client.send_request("load", "insert into lessons_3.hours", 9000);
@@ -394,14 +399,14 @@
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
   CHECK(tablet.request(earlier_key).outcome.how == OutcomeKind::kUnknown);
   CHECK(total_runs(site) == 0);
-  // A token of another device, or one that was changed, opens nothing.
+  // The token of another device is refused.
   DeviceFixture impostor(site, "other");
   impostor.device.set_token(tablet.device.token());
   impostor.client.connect();
   REQUIRE(site.until([&] { return impostor.device.last_error == "token"; }));
 }
 
-TEST_CASE("edge: at SIGTERM devices are told, nothing new is taken, and all that was taken is answered") {
+TEST_CASE("edge: at SIGTERM devices are told, new requests are refused, and all accepted ones are answered") {
   Site::Options o = site_options();
   o.script->runs_for = milliseconds(300);
   Site site(o);
@@ -419,7 +424,9 @@
   REQUIRE(site.until([&] { return site.server->io().stopped(); }));
 }
 
-TEST_CASE("edge: slow headers, long ones, bombs, deep nesting and nonsense end their own connection alone") {
+TEST_CASE(
+    "edge: slow or long headers, decompression bombs, deep nesting and malformed input end only their own "
+    "connection") {
   Site site(site_options());
   DeviceFixture healthy(site, "good");
   healthy.client.connect();
@@ -448,7 +455,8 @@
     return send_raw("POST " + path + " HTTP/1.1\r\nHost: e\r\nContent-Type: " + type +
                     "\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
   };
-  CHECK(send_raw("POST /edge/poll HTTP/1.1\r\nX: ").empty());  // and then nothing more: its time is over
+  // Nothing follows the start of this header, so the request times out.
+  CHECK(send_raw("POST /edge/poll HTTP/1.1\r\nX: ").empty());
   CHECK(send_raw("GET / HTTP/1.1\r\nX: " + std::string(20'000, 'x')).find("431") != std::string::npos);
   CHECK(send_raw("POST /edge/poll HTTP/1.1\r\nHost: e\r\nContent-Length: 99999999\r\n\r\n").find("413") !=
         std::string::npos);
@@ -460,7 +468,7 @@
   CHECK(post("/edge/open", "{}").find("hello-first") != std::string::npos);
   CHECK(post("/edge/poll", "{\"link\":\"00\"}").find("410") != std::string::npos);
   CHECK(post("/edge/open", "{\"frames\":[{\"t\":\"hello\",\"device\":7}]}").find("400") != std::string::npos);
-  // 200 MB of blanks, some 200 KB once compressed.
+  // 20 MiB of blanks, a fraction of that once compressed.
   namespace websocket = boost::beast::websocket;
   websocket::stream<boost::beast::tcp_stream> bomb(site.io);
   boost::beast::get_lowest_layer(bomb).connect(site.server->edge_endpoint());
@@ -479,14 +487,15 @@
   bomb.async_read(buffer,
                   [&](boost::system::error_code error, std::size_t) { refused = static_cast<bool>(error); });
   REQUIRE(site.until([&] { return refused; }));
-  // The others did not notice.
+  // Other connections are unaffected.
   healthy.client.send_request("report", "select 1 from a_1.t", 9000);
   REQUIRE(site.until([&] { return healthy.device.idle(); }));
   INFO("last error: " << healthy.device.last_error);
   CHECK(healthy.client.connect_count() == 1);
 }
 
-TEST_CASE("edge: over rough links, on all fronts, each request has one answer and no load runs twice") {
+TEST_CASE(
+    "edge: over faulty connections, on all fronts, each request has one answer and no load runs twice") {
   Site::Options o = site_options("  heartbeat-least 100ms\n  heartbeat-most 300ms\n");
   o.engines = 2;
   Site site(o);
