--- a/src/edge/edge.h
+++ b/src/edge/edge.h
@@ -1,5 +1,5 @@
-// The edge put together: its logic, its ledger's disk, the links of its fronts, and the way to the
-// coordinator and the spool. On the coordinator's strand, the ledger's thread excepted.
+// Joins the edge's decision logic with the ledger on disk, the devices' connections, the coordinator and the
+// spool. Runs on the coordinator's strand, except for the ledger's thread.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -20,18 +20,19 @@
 
 namespace steprail::edge {
 
-// A device's connection, whatever it is made of. Frames leave in order; after close() nothing is heard of it.
-class Link {
+// A device's connection over any transport. Frames are sent in order. After close() the implementation makes
+// no further calls to the edge.
+class DeviceConnection {
  public:
-  virtual ~Link() = default;
+  virtual ~DeviceConnection() = default;
   virtual void send(const Frame& frame) = 0;
   virtual void close() = 0;
 };
 
 class Edge : public Front {
  public:
-  // Throws std::runtime_error where the ledger's folder or the secret's file cannot be used. `index` stands
-  // in for the folder in tests.
+  // Throws std::runtime_error if the ledger's folder or the secret file cannot be used. Tests pass `index` in
+  // place of the folder.
   Edge(Strand strand, Coordinator& coordinator, EventLog& log, Metrics& metrics, const NameTables& tables,
        spool::Spool& spool, const EdgeConf& conf, std::uint64_t seed,
        std::unique_ptr<spool::Index> index = nullptr);
@@ -39,79 +40,79 @@
 
   void reconfigure(const EdgeConf& conf);
 
-  // ---- Links ----
-  ConnId opened(std::shared_ptr<Link> link);
-  void heard(ConnId conn, const Frame& frame);
-  void closed(ConnId conn);
-  void room(ConnId conn, bool room);
-  void polled(ConnId conn, Seq have);
+  // ---- Called by the fronts ----
+  ConnId on_opened(std::shared_ptr<DeviceConnection> connection);
+  void on_frame(ConnId conn, const Frame& frame);
+  void on_closed(ConnId conn);
+  void set_writable(ConnId conn, bool writable);
+  void on_poll(ConnId conn, Seq have);
 
-  // ---- Front ----
+  // ---- Front: called by the coordinator ----
   void answer(const ReplyTarget& ticket, Answer answer) override;
   void flush() override {}
 
-  // At SIGTERM: devices are told; settled() once all that was taken is answered and, as far as devices are
-  // there, has arrived.
+  // Called at SIGTERM: tells the devices. drained() is true once every accepted request is answered and the
+  // devices that are connected have received their answers.
   void drain();
-  bool settled() const { return logic_->quiescent() && (!ledger_ || ledger_->idle()); }
-  void observe();
+  bool drained() const { return logic_->quiescent() && (!ledger_ || ledger_->idle()); }
+  void update_metrics();
   const EdgeLogic& logic() const { return *logic_; }
   const LedgerWriter* ledger() const { return ledger_.get(); }
 
  private:
-  struct Result {  // of a request that was served
+  struct Result {  // the rows of a served request
     int tenant{};
     std::string handle;
-    spool::Window whole;  // where the spool was full: all there is
-    bool direct{false};
+    spool::Window inline_window;  // all rows, if the spool had no room for them
+    bool is_inline{false};
   };
   static Micros now();
   static std::int64_t unix_now();
-  EdgeSettings settings_of(const EdgeConf& conf) const;
-  void run();
-  void carry_out(const SendFrame& act);
-  void carry_out(const CloseConn& act);
-  void carry_out(const WriteRecord& act);
-  void carry_out(const SubmitRequest& act);
-  void carry_out(const CancelRequest& act);
-  void carry_out(const FetchRows& act);
-  void carry_out(const ReleaseResult& act);
-  void answered(RequestId request, const Outcome& outcome);
-  void forget_due();
-  void give(const FetchRows& act, const spool::Window& window);
-  void arm();
+  EdgeSettings make_logic_settings(const EdgeConf& conf) const;
+  void perform_actions();
+  void perform(const SendFrame& action);
+  void perform(const CloseConn& action);
+  void perform(const WriteRecord& action);
+  void perform(const SubmitRequest& action);
+  void perform(const CancelRequest& action);
+  void perform(const FetchRows& action);
+  void perform(const ReleaseResult& action);
+  void report_outcome(RequestId request, const Outcome& outcome);
+  void drop_expired_results();
+  void deliver_rows(const FetchRows& action, const spool::Window& window);
+  void arm_timer();
 
   Strand strand_;
   Coordinator& coordinator_;
   EventLog& log_;
   const NameTables& tables_;
   spool::Spool& spool_;
-  int number_;  // among the coordinator's fronts
+  int front_index_;  // identifies the edge among the coordinator's fronts
   std::unique_ptr<EdgeLogic> logic_;
   std::unique_ptr<LedgerWriter> ledger_;
-  std::unordered_map<ConnId, std::shared_ptr<Link>> links_;
-  struct Running {
+  std::unordered_map<ConnId, std::shared_ptr<DeviceConnection>> connections_;
+  struct RunningRequest {
     int tenant{};
     bool spooled{}, repeatable{};
-    Micros give_up{0};
+    Micros deadline{0};
   };
-  std::unordered_map<RequestId, Running> running_;
+  std::unordered_map<RequestId, RunningRequest> running_;
   std::unordered_map<RequestId, Result> results_;
-  // When nobody may come for a result any more.
-  using Due = std::pair<Micros, RequestId>;
-  std::priority_queue<Due, std::vector<Due>, std::greater<>> due_;
-  std::uint64_t direct_bytes_{0};
-  ConnId last_conn_{0};
-  std::vector<EdgeAction> acts_;
-  bool working_{false};
+  // When a result may be dropped because its request's deadline has passed; earliest first.
+  using ResultExpiry = std::pair<Micros, RequestId>;
+  std::priority_queue<ResultExpiry, std::vector<ResultExpiry>, std::greater<>> result_expiries_;
+  std::uint64_t inline_bytes_{0};
+  ConnId last_conn_id_{0};
+  std::vector<EdgeAction> actions_;
+  bool performing_actions_{false};
   boost::asio::steady_timer timer_;
-  Micros armed_for_{0};
-  struct Counted {
-    explicit Counted(Metrics& metrics);
+  Micros timer_due_at_{0};
+  struct Gauges {
+    explicit Gauges(Metrics& metrics);
     prometheus::Gauge &sessions, &live, &bytes, &waiting, &entries;
     prometheus::Gauge &begun, &resumed, &taken_over, &expired, &turned_away, &forged, &suspected, &requests,
         &repeats, &answers, &unknowns, &refused, &commits, &records;
-  } counted_;
+  } gauges_;
 };
 
 }  // namespace steprail::edge
--- a/src/edge/fronts.h
+++ b/src/edge/fronts.h
@@ -1,4 +1,4 @@
-// The edge's two fronts on one listener: WebSocket, and HTTP/1.1 long poll for links that let nothing else
+// The edge's two fronts on one listener: WebSocket, and HTTP/1.1 long poll for networks that let nothing else
 // through. docs/protocol/edge.md has paths, subprotocols and limits.
 #pragma once
 
@@ -20,7 +20,7 @@
 class Fronts {
  public:
   struct Limits {
-    std::size_t connections{256};
+    std::size_t max_connections{256};
     Micros poll_wait{25'000'000};
   };
   Fronts(Strand strand, EventLog& log, Edge& edge, Limits limits);
@@ -28,33 +28,33 @@
   Fronts(const Fronts&) = delete;
   Fronts& operator=(const Fronts&) = delete;
 
-  // Throws boost::system::system_error where the address cannot be had.
+  // Throws boost::system::system_error if the address cannot be bound.
   tcp::endpoint listen(const tcp::endpoint& at);
   void set_limits(const Limits& limits) { limits_ = limits; }
-  // Nothing is left to be written.
-  bool written_out() const;
+  // True while no write to a device is in progress.
+  bool all_written() const;
   std::size_t connections() const { return connections_; }
-  std::size_t links() const { return links_.size(); }
+  std::size_t poll_link_count() const { return poll_links_.size(); }
 
  private:
-  class Http;
-  class WebSocket;
-  class Poll;
+  class HttpConnection;
+  class WebSocketConnection;
+  class PollConnection;
   void accept();
-  std::shared_ptr<Poll> find(const std::string& link) const;
-  void drop(const std::string& link);
-  void sweep();
+  std::shared_ptr<PollConnection> find_poll(const std::string& link) const;
+  void drop_poll(const std::string& link);
+  void drop_silent_polls();
 
   Strand strand_;
   EventLog& log_;
   Edge& edge_;
   Limits limits_;
   tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_, sweep_;
+  boost::asio::steady_timer accept_retry_timer_, sweep_timer_;
   bool accepting_{false};
-  std::size_t connections_{0}, writing_{0};
-  std::unordered_map<std::string, std::shared_ptr<Poll>> polls_;
-  PollLinks links_;
+  std::size_t connections_{0}, pending_writes_{0};
+  std::unordered_map<std::string, std::shared_ptr<PollConnection>> polls_;
+  PollLinks poll_links_;
   std::shared_ptr<bool> alive_{std::make_shared<bool>(true)};
 };
 
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -2,141 +2,158 @@
 
 namespace steprail::edge {
 namespace {
-constexpr double kK = 1024, kM = 1024 * kK, kG = 1024 * kM, kSecond = 1e6, kHour = 3600 * kSecond;
+constexpr double kKiB = 1024, kMiB = 1024 * kKiB, kGiB = 1024 * kMiB, kSecond = 1e6, kHour = 3600 * kSecond;
 }
 
-void register_edge(conf::Schema& schema, EdgeConf& into) {
+void register_edge(conf::Schema& schema, EdgeConf& config) {
   using Given = conf::Directive::Given;
   conf::Block& block = schema.block(
       "edge",
-      "Devices on poor links, over WebSocket and HTTP long poll: sessions outlive connections, and a load "
-      "that is sent again gets its first outcome. Needs the block 'spool'.");
-  block.present([&into] { into.on = true; });
-  const auto time = [&](const char* name, const char* help, double least, double most, const char* standard,
-                        Micros& to) {
-    block.directive(name, help).time("TIME", least, most).standard(standard).take([&to](const Given& given) {
-      return to = Micros{given.whole(0)}, std::string();
-    });
+      "Serves devices on poor links over WebSocket and HTTP long poll: sessions outlive connections, "
+      "and a load that is sent again gets its first outcome. Needs the block 'spool'.");
+  block.present([&config] { config.enabled = true; });
+  const auto time = [&](const char* name, const char* help, double min, double max, const char* default_value,
+                        Micros& target) {
+    block.directive(name, help)
+        .time("TIME", min, max)
+        .standard(default_value)
+        .take([&target](const Given& given) { return target = Micros{given.whole(0)}, std::string(); });
   };
-  const auto count = [&](const char* name, const char* help, double least, double most, const char* standard,
-                         auto& to) {
+  const auto count = [&](const char* name, const char* help, double min, double max,
+                         const char* default_value, auto& target) {
     block.directive(name, help)
-        .count("COUNT", least, most)
-        .standard(standard)
-        .take([&to](const Given& given) {
-          return to = static_cast<std::remove_reference_t<decltype(to)>>(given.whole(0)), std::string();
+        .count("COUNT", min, max)
+        .standard(default_value)
+        .take([&target](const Given& given) {
+          return target = static_cast<std::remove_reference_t<decltype(target)>>(given.whole(0)),
+                 std::string();
         });
   };
-  const auto bytes = [&](const char* name, const char* help, double least, double most, const char* standard,
-                         auto& to) {
-    block.directive(name, help).bytes("SIZE", least, most).standard(standard).take([&to](const Given& given) {
-      return to = static_cast<std::remove_reference_t<decltype(to)>>(given.whole(0)), std::string();
-    });
+  const auto bytes = [&](const char* name, const char* help, double min, double max,
+                         const char* default_value, auto& target) {
+    block.directive(name, help)
+        .bytes("SIZE", min, max)
+        .standard(default_value)
+        .take([&target](const Given& given) {
+          return target = static_cast<std::remove_reference_t<decltype(target)>>(given.whole(0)),
+                 std::string();
+        });
   };
-  block.directive("listen", "where devices connect")
+  block.directive("listen", "the address that devices connect to")
       .address("ADDRESS")
       .required()
-      .take([&into](const Given& given) { return into.listen = given.text(0), std::string(); });
-  block.directive("home", "this coordinator's name in its devices' tokens; every one has its own")
+      .take([&config](const Given& given) { return config.listen = given.text(0), std::string(); });
+  block.directive("home", "this coordinator's name in its devices' tokens; no two coordinators share one")
       .text("NAME")
       .required()
-      .take([&into](const Given& given) { return into.logic.home = given.text(0), std::string(); });
-  block.directive("other", "another home, and where its devices reach it")
+      .take([&config](const Given& given) { return config.logic.home = given.text(0), std::string(); });
+  block.directive("other", "another home, and the address at which its devices reach it")
       .text("NAME")
       .text("ADDRESS")
       .repeated()
-      .take([&into](const Given& given) {
-        return into.logic.peer_homes.emplace(given.text(0), given.text(1)).second
+      .take([&config](const Given& given) {
+        return config.logic.peer_homes.emplace(given.text(0), given.text(1)).second
                    ? std::string()
                    : "home '" + given.text(0) + "' is given twice";
       });
   block
-      .directive("gone",
-                 "a home that will never come back: its devices begin anew here, and a load first sent to "
-                 "it is answered 'unknown'")
+      .directive(
+          "gone",
+          "a home that will never come back: its devices start new sessions here, and a load first sent "
+          "to it is answered 'unknown'")
       .text("NAME")
       .repeated()
-      .take([&into](const Given& given) {
-        return into.logic.retired_homes.insert(given.text(0)), std::string();
+      .take([&config](const Given& given) {
+        return config.logic.retired_homes.insert(given.text(0)), std::string();
       });
   block
       .directive("secret",
-                 "a file of 32 bytes or more that all homes share; without it tokens hold for this process")
+                 "a file of at least 32 bytes that all homes share; without it tokens are valid for this "
+                 "process only")
       .path("FILE")
-      .standard("one of this process's own")
-      .take([&into](const Given& given) { return into.secret_file = given.text(0), std::string(); });
+      .standard("random, the process's own")
+      .take([&config](const Given& given) { return config.secret_file = given.text(0), std::string(); });
   block
       .directive("ledger",
-                 "a folder for the outcomes of loads, and the size it may grow to; without it they are in "
-                 "memory, and after a restart 'unknown'")
+                 "a folder for the outcomes of loads, and its maximum size; without it they are kept in "
+                 "memory, and are 'unknown' after a restart")
       .path("FOLDER")
-      .bytes("SIZE", kM, 64 * kG)
+      .bytes("SIZE", kMiB, 64 * kGiB)
       .standard("in memory")
-      .take([&into](const Given& given) {
-        into.ledger_folder = given.text(0);
-        into.ledger_most = static_cast<std::uint64_t>(given.whole(1));
-        into.logic.ledger.durable = true;
+      .take([&config](const Given& given) {
+        config.ledger_folder = given.text(0);
+        config.max_ledger_bytes = static_cast<std::uint64_t>(given.whole(1));
+        config.logic.ledger.durable = true;
         return std::string();
       });
   time("ledger-keep", "how long the outcome of a load is known; later its key is refused as too old",
-       60 * kSecond, 720 * kHour, "24h", into.logic.ledger.retention);
-  count("ledger-entries", "outcomes known at a time; beyond, requests are refused", 100, 1e8, "1000000",
-        into.logic.ledger.max_entries);
-  time("session-keep", "how long a session lives without a connection", kSecond, 48 * kHour, "10m",
-       into.logic.session_ttl);
-  time("poll-wait", "how long a poll waits for something to tell", kSecond / 10, 120 * kSecond, "25s",
-       into.poll_wait);
-  count("sessions", "sessions at a time", 1, 1e6, "20000", into.logic.max_sessions);
-  count("sessions-tenant", "of one tenant", 1, 1e6, "20000", into.logic.max_sessions_per_tenant);
-  count("sessions-device", "of one device; the one left alone for longest gives way", 1, 64, "4",
-        into.logic.max_sessions_per_device);
-  count("connections", "connections at a time", 1, 65536, "256", into.connections);
-  count("requests", "requests of one session open at a time", 1, 1024, "32", into.logic.max_open_requests);
-  bytes("window", "rows on the way to one device", 4 * kK, 16 * kM, "128k", into.logic.window);
-  bytes("page-least", "rows in one message, on the slowest links", 256, 64 * kK, "4k",
-        into.logic.min_page_bytes);
-  bytes("page-most", "rows in one message, on the fastest", kK, 128 * kK, "64k", into.logic.max_page_bytes);
-  bytes("memory", "rows on the way to all devices", kM, 16 * kG, "32m", into.logic.memory.most);
-  count("rate", "devices let in a second, when many come at once", 1, 1e6, "500",
-        into.logic.admission.rate_per_second);
-  count("burst", "let in at once before that rate holds", 1, 1e6, "100", into.logic.admission.burst);
-  count("waiting", "devices that may wait to be let in; the others are told when to come back", 1, 1e6,
-        "1000", into.logic.admission.max_waiting);
-  time("heartbeat-least", "between heartbeats, on the fastest links", kSecond / 10, 60 * kSecond, "2s",
-       into.logic.min_heartbeat);
-  time("heartbeat-most", "on the slowest", kSecond / 5, 600 * kSecond, "30s", into.logic.max_heartbeat);
+       60 * kSecond, 720 * kHour, "24h", config.logic.ledger.retention);
+  count("ledger-entries", "maximum number of outcomes known at a time; beyond it, requests are refused", 100,
+        1e8, "1000000", config.logic.ledger.max_entries);
+  time("session-keep", "how long a session is kept without a connection", kSecond, 48 * kHour, "10m",
+       config.logic.session_ttl);
+  time("poll-wait", "how long a poll waits for something to send", kSecond / 10, 120 * kSecond, "25s",
+       config.poll_wait);
+  count("sessions", "maximum number of sessions at a time", 1, 1e6, "20000", config.logic.max_sessions);
+  count("sessions-tenant", "maximum number of sessions of one tenant", 1, 1e6, "20000",
+        config.logic.max_sessions_per_tenant);
+  count("sessions-device",
+        "maximum number of sessions of one device; the one left unused for longest is evicted", 1, 64, "4",
+        config.logic.max_sessions_per_device);
+  count("connections", "maximum number of connections at a time", 1, 65536, "256", config.max_connections);
+  count("requests", "maximum number of requests of one session open at a time", 1, 1024, "32",
+        config.logic.max_open_requests);
+  bytes("window", "maximum size of the rows in flight to one device", 4 * kKiB, 16 * kMiB, "128k",
+        config.logic.window);
+  bytes("page-least", "size of the rows in one message on the slowest links", 256, 64 * kKiB, "4k",
+        config.logic.min_page_bytes);
+  bytes("page-most", "size of the rows in one message on the fastest connections", kKiB, 128 * kKiB, "64k",
+        config.logic.max_page_bytes);
+  bytes("memory", "maximum size of the rows in flight to all devices", kMiB, 16 * kGiB, "32m",
+        config.logic.memory.most);
+  count("rate", "devices admitted a second when many connect at once", 1, 1e6, "500",
+        config.logic.admission.rate_per_second);
+  count("burst", "devices admitted at once before the rate applies", 1, 1e6, "100",
+        config.logic.admission.burst);
+  count("waiting", "maximum number of devices waiting for admission; others are told when to come back", 1,
+        1e6, "1000", config.logic.admission.max_waiting);
+  time("heartbeat-least", "interval between heartbeats on the fastest links", kSecond / 10, 60 * kSecond,
+       "2s", config.logic.min_heartbeat);
+  time("heartbeat-most", "interval between heartbeats on the slowest connections", kSecond / 5, 600 * kSecond,
+       "30s", config.logic.max_heartbeat);
   using Wrong = conf::Block::Wrong;
-  block.rule([&into]() -> Wrong {
-    if (into.logic.min_page_bytes <= into.logic.max_page_bytes) return {};
-    return {"page-least", "the least page is larger than the most"};
+  block.rule([&config]() -> Wrong {
+    if (config.logic.min_page_bytes <= config.logic.max_page_bytes) return {};
+    return {"page-least", "the minimum page is larger than the maximum"};
   });
-  block.rule([&into]() -> Wrong {
-    if (into.logic.window >= into.logic.max_page_bytes) return {};
+  block.rule([&config]() -> Wrong {
+    if (config.logic.window >= config.logic.max_page_bytes) return {};
     return {"window", "a window must hold the largest page"};
   });
-  block.rule([&into]() -> Wrong {
-    if (into.logic.min_heartbeat <= into.logic.max_heartbeat) return {};
-    return {"heartbeat-least", "the least pause is longer than the most"};
+  block.rule([&config]() -> Wrong {
+    if (config.logic.min_heartbeat <= config.logic.max_heartbeat) return {};
+    return {"heartbeat-least", "the minimum pause between heartbeats is longer than the maximum"};
   });
-  block.rule([&into]() -> Wrong {
-    if (!into.logic.peer_homes.contains(into.logic.home) &&
-        !into.logic.retired_homes.contains(into.logic.home))
+  block.rule([&config]() -> Wrong {
+    if (!config.logic.peer_homes.contains(config.logic.home) &&
+        !config.logic.retired_homes.contains(config.logic.home))
       return {};
-    return {"home", "this home is named among the others"};
+    return {"home", "this home is also named by 'other' or 'gone'"};
   });
-  block.rule([&into]() -> Wrong {
-    if (into.secret_file.empty() && (!into.logic.peer_homes.empty() || !into.logic.retired_homes.empty()))
-      return {"home", "homes that know of each other must share a 'secret'"};
+  block.rule([&config]() -> Wrong {
+    if (config.secret_file.empty() &&
+        (!config.logic.peer_homes.empty() || !config.logic.retired_homes.empty()))
+      return {"home", "homes that name each other must share a 'secret'"};
     return {};
   });
 }
 
-std::string needs_restart(const EdgeConf& running, const EdgeConf& fresh) {
-  if (running.on != fresh.on) return "edge";
-  if (running.listen != fresh.listen) return "listen";
-  if (running.logic.home != fresh.logic.home) return "home";
-  if (running.secret_file != fresh.secret_file) return "secret";
-  if (running.ledger_folder != fresh.ledger_folder || running.ledger_most != fresh.ledger_most)
+std::string needs_restart(const EdgeConf& running, const EdgeConf& updated) {
+  if (running.enabled != updated.enabled) return "edge";
+  if (running.listen != updated.listen) return "listen";
+  if (running.logic.home != updated.logic.home) return "home";
+  if (running.secret_file != updated.secret_file) return "secret";
+  if (running.ledger_folder != updated.ledger_folder || running.max_ledger_bytes != updated.max_ledger_bytes)
     return "ledger";
   return {};
 }
--- a/src/operator.cpp
+++ b/src/operator.cpp
@@ -80,9 +80,9 @@
 }
 
 std::string limit_violation(const OperatorConf& conf, std::size_t memory_mb, std::size_t sockets) {
-  if (conf.edge.on && !conf.spool.on)
+  if (conf.edge.enabled && !conf.spool.on)
     return "edge: it stores its rows in the spool, but the block 'spool' is missing";
-  if (conf.edge.on && conf.edge.connections > sockets / 3)
+  if (conf.edge.enabled && conf.edge.max_connections > sockets / 3)
     return "edge: 'connections' is more than a third of the " + std::to_string(sockets) +
            " descriptors that the coordinator has";
   if (!conf.spool.on) return {};
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -61,7 +61,7 @@
                                           std::move(substitutes));
   readers_ = std::make_unique<spool::ReaderFront>(strand_, coordinator_, log_, config_.tables, *spool_,
                                                   reader_limits());
-  if (!operator_conf_.edge.on) return;
+  if (!operator_conf_.edge.enabled) return;
   edge_ = std::make_unique<edge::Edge>(strand_, coordinator_, log_, *metrics_, config_.tables, *spool_,
                                        operator_conf_.edge, config_.seed, std::move(ledger));
   edge_fronts_ = std::make_unique<edge::Fronts>(strand_, log_, *edge_, edge_limits());
@@ -74,7 +74,7 @@
 }
 
 edge::Fronts::Limits Server::edge_limits() const {
-  return {operator_conf_.edge.connections, operator_conf_.edge.poll_wait};
+  return {operator_conf_.edge.max_connections, operator_conf_.edge.poll_wait};
 }
 
 FramedServer::Limits Server::reader_limits() const {
@@ -223,7 +223,7 @@
   const std::size_t spool_descriptors =
       operator_conf_.spool.on ? operator_conf_.spool.sessions + kSpoolDescriptors : 0;
   const std::size_t edge_descriptors =
-      operator_conf_.edge.on ? operator_conf_.edge.connections + kSpoolDescriptors : 0;
+      operator_conf_.edge.enabled ? operator_conf_.edge.max_connections + kSpoolDescriptors : 0;
   limits.max_connections -= std::min(spool_descriptors + edge_descriptors, limits.max_connections - 1);
   return limits;
 }
@@ -267,7 +267,7 @@
 
 void Server::write_metrics() {
   if (spool_) spool_->observe();
-  if (edge_) edge_->observe();
+  if (edge_) edge_->update_metrics();
   if (routes_) routes_->observe();
   if (!file_writer_) file_writer_ = std::make_unique<Worker>(1);
   const bool queued = file_writer_->post([this, path = operator_conf_.metrics_file, text = metrics_->text()] {
@@ -288,7 +288,7 @@
   const bool spool_done = !spool_ || (spool_->settled() && readers_->written_out());
   // Connected devices receive their answers; devices with a broken connection get them from the ledger
   // through the next process.
-  const bool edge_done = !edge_ || (edge_->settled() && edge_fronts_->written_out()) ||
+  const bool edge_done = !edge_ || (edge_->drained() && edge_fronts_->all_written()) ||
                          std::chrono::steady_clock::now() > drain_until_;
   if (front_.written_out() && spool_done && edge_done) return end();
   grace_timer_.expires_after(kDrainPollInterval);
