--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -1,5 +1,5 @@
-// What the spool costs and brings. Everything is a ratio or a count within this one run; the last line is
-// JSON.
+// Costs and benefits of the spool. All figures are ratios or counts within one run; the last line of the
+// output is JSON.
 #include <CLI/CLI.hpp>
 #include <boost/asio/write.hpp>
 #include <cstdio>
@@ -25,9 +25,9 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-// ---- Structures against plain ones ----
+// ---- Data structures against simpler ones ----
 
-// Half of all timers are taken back before they fire, as leases are that their readers renew.
+// Half of the timers are cancelled before they fire, like leases that their readers renew.
 json wheel_over_heap(std::size_t n, int rounds) {
   using Micros = std::chrono::microseconds;
   pcg32 random(7);
@@ -35,10 +35,10 @@
   for (auto& at : due) at = 1000 + random(30'000'000);
   const double wheel = ns_each(n, rounds, [&] {
     TimingWheel timers(Micros{1000}, Micros{0});
-    std::vector<TimingWheel::Timer> set(n);
+    std::vector<TimingWheel::Timer> handles(n);
     std::size_t fired = 0;
-    for (std::size_t i = 0; i < n; ++i) set[i] = timers.schedule(Micros{due[i]}, i);
-    for (std::size_t i = 0; i < n; i += 2) timers.cancel(set[i]);
+    for (std::size_t i = 0; i < n; ++i) handles[i] = timers.schedule(Micros{due[i]}, i);
+    for (std::size_t i = 0; i < n; i += 2) timers.cancel(handles[i]);
     for (std::int64_t now = 0; timers.size() > 0; now += 100'000)
       timers.advance(Micros{now}, [&](std::uint64_t) { ++fired; });
     if (fired != n / 2) std::abort();
@@ -46,13 +46,13 @@
   const double heap = ns_each(n, rounds, [&] {
     using Entry = std::pair<std::int64_t, std::size_t>;
     std::priority_queue<Entry, std::vector<Entry>, std::greater<>> timers;
-    std::vector<bool> gone(n);
+    std::vector<bool> cancelled(n);
     std::size_t fired = 0;
     for (std::size_t i = 0; i < n; ++i) timers.push({due[i], i});
-    for (std::size_t i = 0; i < n; i += 2) gone[i] = true;
+    for (std::size_t i = 0; i < n; i += 2) cancelled[i] = true;
     for (std::int64_t now = 0; !timers.empty(); now += 100'000) {
       while (!timers.empty() && timers.top().first <= now) {
-        fired += !gone[timers.top().second];
+        fired += !cancelled[timers.top().second];
         timers.pop();
       }
     }
@@ -66,12 +66,12 @@
   spool::PageIndex index;
   std::map<std::uint64_t, std::size_t> tree;
   for (std::size_t page = 0; page < n; ++page) {
-    tree[index.rows()] = page;
-    index.add(40 + random(40), 6000);
+    tree[index.row_count()] = page;
+    index.append(40 + random(40), 6000);
   }
   constexpr std::size_t kLookups = 200'000;
   std::vector<std::uint64_t> rows(kLookups);
-  for (auto& row : rows) row = random(static_cast<std::uint32_t>(index.rows()));
+  for (auto& row : rows) row = random(static_cast<std::uint32_t>(index.row_count()));
   std::size_t sum = 0, other = 0;
   const double flat = ns_each(kLookups, rounds, [&] {
     for (const std::uint64_t row : rows) sum += index.page_of(row);
@@ -87,15 +87,15 @@
 
 json store_figures(bool quick) {
   const Folder folder;
-  const std::size_t results = quick ? 128 : 512, pages = 340;  // of 2 MB each
+  const std::size_t results = quick ? 128 : 512, pages = 340;  // 2 MB per result
   std::string page;
   pcg32 random(3);
   while (page.size() < 6000) page.push_back(static_cast<char>('a' + random(26)));
   double append = 0;
   const double bytes = static_cast<double>(results * pages) * 6000;
   {
-    const auto files = spool::posix_files(folder.path("spool"));
-    const auto index = spool::lmdb_index(folder.path("spool"), 64u << 20);
+    const auto files = spool::open_posix_files(folder.path("spool"));
+    const auto index = spool::open_lmdb_index(folder.path("spool"), 64u << 20);
     spool::SegmentStore store(*files, *index, {8ull << 30, 64u << 20, 0});
     store.recover(0);
     const auto start = Time::now();
@@ -104,7 +104,7 @@
       for (std::size_t j = 0; j < 8; ++j) {
         items[j].meta.id = i + j + 1;
         items[j].meta.handle = "h";
-        items[j].meta.give_up_unix_us = items[j].meta.left_us = 1'000'000'000;
+        items[j].meta.give_up_unix_us = items[j].meta.remaining_us = 1'000'000'000;
         items[j].pages.assign(pages, page);
         items[j].meta.pages.assign(pages, {60, 6000});
       }
@@ -112,12 +112,12 @@
     }
     append = bytes / seconds_since(start);
   }
-  const auto files = spool::posix_files(folder.path("plain"));
+  const auto files = spool::open_posix_files(folder.path("plain"));
   const auto file = files->create("plain");
   const std::string block(48u << 10, 'x');
   auto start = Time::now();
   double plain = 0;
-  // The same bytes and the same number of syncs.
+  // Writes the same number of bytes with the same number of syncs.
   for (std::size_t i = 0; i < results; i += 8) {
     for (double written = 0; written < 8 * 340 * 6000; written += static_cast<double>(block.size())) {
       const std::string_view piece = block;
@@ -126,19 +126,19 @@
     file->sync();
   }
   plain = bytes / seconds_since(start);
-  const auto again = spool::posix_files(folder.path("spool"));
-  const auto index = spool::lmdb_index(folder.path("spool"), 64u << 20);
+  const auto again = spool::open_posix_files(folder.path("spool"));
+  const auto index = spool::open_lmdb_index(folder.path("spool"), 64u << 20);
   spool::SegmentStore store(*again, *index, {8ull << 30, 64u << 20, 0});
   start = Time::now();
   const auto found = store.recover(1);
   const double recovery = seconds_since(start);
-  if (found.whole.size() != results) std::abort();
+  if (found.intact.size() != results) std::abort();
   return {{"append_mb_per_s", append / 1e6},
           {"append_over_plain_write", append / plain},
           {"recovery_ms_per_gb", recovery * 1000 / (static_cast<double>(found.bytes_read) / 1e9)}};
 }
 
-// ---- The engine's session ----
+// ---- Time that an engine's session stays open ----
 
 std::string conf(const std::string& memory, const std::string& more = {}) {
   return "spool {\n  listen 127.0.0.1:0\n  memory " + memory + "\n  result-most 1m\n  window-most 64k\n" +
@@ -159,14 +159,16 @@
   if (!opened || opened->field != 0) std::abort();
   const Span span = site.engines[0]->spans().at(0);
   const double spooled = std::chrono::duration<double>(span.freed - span.opened).count();
-  // The direct way: pages are read from the engine itself, as slowly as the reader takes them.
-  const double reading = 100 * spooled;
+  // Without the spool: pages are read from the engine itself, at the reader's slow pace.
+  const double reading_seconds = 100 * spooled;
   tcp::socket socket(site.io);
   socket.connect(*parse_address(site.engines[0]->address()));
   const std::string statement = "select 1 from a_7.t", direct_id = "00000000000000b2";
-  const auto say = [&](const std::string& text) { boost::asio::write(socket, boost::asio::buffer(text)); };
-  say("serve " + direct_id + " lane=report,ttl=60000 " + std::to_string(statement.size()) + "\r\n" +
-      statement + "\r\n");
+  const auto send_text = [&](const std::string& text) {
+    boost::asio::write(socket, boost::asio::buffer(text));
+  };
+  send_text("serve " + direct_id + " lane=report,ttl=60000 " + std::to_string(statement.size()) + "\r\n" +
+            statement + "\r\n");
   constexpr std::size_t kPages = 50;
   std::size_t page = 1;
   const auto start = Time::now();
@@ -175,8 +177,8 @@
     char bytes[65536];
     boost::system::error_code error;
     socket.read_some(boost::asio::buffer(bytes), error);
-    if (page < kPages && seconds_since(start) > reading * static_cast<double>(page) / kPages)
-      say("read " + direct_id + ' ' + std::to_string(page++) + "\r\n");
+    if (page < kPages && seconds_since(start) > reading_seconds * static_cast<double>(page) / kPages)
+      send_text("read " + direct_id + ' ' + std::to_string(page++) + "\r\n");
     return page == kPages && site.open_sessions() == 0;
   });
   const Span slow = site.engines[0]->spans().at(1);
@@ -193,7 +195,7 @@
   const std::uint64_t budget = quick ? 128u << 20 : 256u << 20;
   Site::Options options;
   options.engines = 8;
-  options.script->rows = 5000;  // 500 KB each
+  options.script->rows = 5000;  // 500 KB per result
   options.script->row_bytes = 100;
   options.hard_limit = milliseconds(60'000);
   options.change = [&](json& config) {
@@ -222,7 +224,7 @@
     site.until([&] { return (reply = stalled.back()->take()).has_value() || stalled.back()->ended(); });
     const bool good = reply && reply->field == 0 && !reply->at("handle").empty();
     ++(good ? kept : refused);
-    // Asks for all of it, and reads nothing.
+    // Requests the whole result and reads nothing.
     for (int call = 2; good && call < 20; ++call)
       stalled.back()->call("fetch", call,
                            {{"handle", reply->at("handle")},
@@ -238,7 +240,7 @@
           {"stalled_refused", refused}};
 }
 
-json bytes_left() {
+json leftover_bytes() {
   Site::Options options;
   options.script->rows = 1000;
   options.script->row_bytes = 100;
@@ -260,13 +262,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"what the spool costs and brings"};
+  CLI::App app{"costs and benefits of the spool"};
   bool quick = false;
   std::string program = STEPRAIL, before, only;
-  app.add_flag("--quick", quick, "under 20 s");
+  app.add_flag("--quick", quick, "shorter run, under 20 s");
   app.add_option("--program", program, "the program to measure");
-  app.add_option("--before", before, "an earlier build of it, to compare the ordinary path with");
-  app.add_option("--only", only, "one part: structures, store, session, memory, cost, left");
+  app.add_option("--before", before, "an earlier build, to compare the path without the spool with");
+  app.add_option("--only", only, "run one part only: structures, store, session, memory, cost, left");
   CLI11_PARSE(app, argc, argv);
   most_descriptors();
   json out = {{"bench", "spool"}, {"quick", quick}};
@@ -290,7 +292,7 @@
   part("session", [&] { return session_figures(); });
   part("memory", [&] { return memory_figures(program, quick); });
   part("cost", [&] { return ordinary_cost(program, before, ::conf("64m"), quick); });
-  part("left", [&] { return json{{"bytes_left", bytes_left()}}; });
+  part("left", [&] { return json{{"bytes_left", leftover_bytes()}}; });
   std::cout << out.dump() << std::endl;
   return 0;
 }
--- a/models/spool.pml
+++ b/models/spool.pml
@@ -1,120 +1,120 @@
-/* A request, its handle, its reader and a restart of the coordinator, as src/spool and src/spool/logic have them.
+/* One request with its handle, its reader and a restart of the coordinator, as in src/spool and src/spool/logic.
  *
- * Checked by models/check: one final answer a request; 'served' once, at the last row; no page after a release;
- * the engine always freed; what is held comes back to nothing; a load runs once. With -DBROKEN_DROP the engine's
- * half result is kept when it dies, with -DBROKEN_RELEASE a page read from disk is handed out after the release:
- * spin must find both.
+ * models/check verifies: one final answer per request; 'served' counted once, at the last row; no page sent after a
+ * release; the engine is always freed; nothing is held at the end; a load runs at most once. -DBROKEN_DROP keeps the
+ * partial result of an engine that dies, -DBROKEN_RELEASE sends a page read from disk after the release: spin must
+ * find an error in both variants.
  */
 #define PAGES 3
 
-mtype = { running, filling, ready, readout, ended };  /* states of the result; src/spool/logic/state.h */
+mtype = { running, filling, ready, readout, ended };  /* states of the result, see src/spool/logic/state.h */
 
 mtype state = running;
-byte pages = 0;        /* here, of the present attempt */
-byte attempt = 0;      /* whose pages are here */
-byte runs = 0;         /* times the engine began it */
+byte pages = 0;             /* received from the current attempt */
+byte pages_attempt = 0;     /* the attempt that the pages belong to */
+byte attempts = 0;          /* attempts started */
 bool engine_busy = false;
-bool load;             /* must not run twice */
-byte answers = 0;      /* final answers of the request */
+bool load;                  /* a load must not run twice */
+byte answers = 0;           /* final answers sent */
 byte served = 0;
-byte handed = 0;       /* pages handed out, from the first on */
-bool mixed = false;    /* pages of two attempts in one result */
-bool held = false;     /* bytes in memory */
+byte pages_sent = 0;        /* pages sent to the reader, from the first on */
+bool mixed_pages = false;   /* one result has pages of two attempts */
+bool in_memory = false;     /* the result occupies memory */
 bool on_disk = false;
 bool storing = false;
 bool released = false;
-bool after_release = false;
-bool up = true;        /* the coordinator's process */
+bool sent_after_release = false;
+bool alive = true;          /* the coordinator process runs */
 bool restarted = false;
-bool quit = false;     /* give-up time has passed */
+bool timed_out = false;     /* the give-up time has passed */
 bool reader_done = false;
 
-inline free_all() {
-  held = false; pages = 0;
-  /* the disk's own copy is erased behind a store under way */
+inline release_all() {
+  in_memory = false; pages = 0;
+  /* the copy on disk is erased after a store that is under way */
   if
   :: on_disk -> on_disk = false
   :: else
   fi
 }
 
-/* An engine's attempt: it dies, or gives all pages one by one. Stops with the process that asked. */
+/* The engine's attempts: each one sends all pages one by one, or dies. They stop when the coordinator dies. */
 proctype Engine() {
   do
-  :: atomic { up && state == running && !engine_busy && !quit && runs < 3 && (runs == 0 || !load) && answers == 0 ->
-       engine_busy = true; runs++; attempt = runs; state = filling; held = true }
+  :: atomic { alive && state == running && !engine_busy && !timed_out && attempts < 3 && (attempts == 0 || !load) && answers == 0 ->
+       engine_busy = true; attempts++; pages_attempt = attempts; state = filling; in_memory = true }
      do
-     :: atomic { up && engine_busy && state == filling && pages < PAGES -> pages++;
-          if :: attempt != runs -> mixed = true :: else fi }
-     :: atomic { engine_busy && state == filling && pages < PAGES ->   /* it dies */
+     :: atomic { alive && engine_busy && state == filling && pages < PAGES -> pages++;
+          if :: pages_attempt != attempts -> mixed_pages = true :: else fi }
+     :: atomic { engine_busy && state == filling && pages < PAGES ->   /* the engine dies */
           engine_busy = false; state = running;
 #ifdef BROKEN_DROP
-          mixed = (pages > 0);   /* what the next attempt would find */
+          mixed_pages = (pages > 0);   /* the next attempt would add to the old pages */
 #else
-          held = false; pages = 0;
+          in_memory = false; pages = 0;
 #endif
-          if :: load && answers == 0 -> answers++; state = ended; held = false; pages = 0 :: else fi;
+          if :: load && answers == 0 -> answers++; state = ended; in_memory = false; pages = 0 :: else fi;
           break }
-     :: atomic { up && engine_busy && state == filling && pages == PAGES ->
+     :: atomic { alive && engine_busy && state == filling && pages == PAGES ->
           engine_busy = false; state = ready; answers++; break }
-     :: atomic { (!up || state == ended) -> engine_busy = false; break }
+     :: atomic { (!alive || state == ended) -> engine_busy = false; break }
      od
-  :: atomic { (state != running || !up || quit || answers > 0 || runs == 3) && !engine_busy -> break }
+  :: atomic { (state != running || !alive || timed_out || answers > 0 || attempts == 3) && !engine_busy -> break }
   od
 }
 
 proctype Disk() {
   do
-  :: atomic { up && state >= 0 && (state == ready || state == readout) && held && !storing && !on_disk -> storing = true }
+  :: atomic { alive && state >= 0 && (state == ready || state == readout) && in_memory && !storing && !on_disk -> storing = true }
      if
-     :: atomic { up && storing -> storing = false;
+     :: atomic { alive && storing -> storing = false;
           if
-          :: state == ready || state == readout -> on_disk = true; held = false
-          :: else   /* it ended meanwhile: erased behind the store */
+          :: state == ready || state == readout -> on_disk = true; in_memory = false
+          :: else   /* the result has ended: erased after the store */
           fi }
-     :: atomic { storing -> storing = false }   /* the tier failed: it stays in memory */
-     :: atomic { !storing -> skip }   /* its process is gone */
+     :: atomic { storing -> storing = false }   /* the disk tier failed: the result stays in memory */
+     :: atomic { !storing -> skip }   /* the coordinator died */
      fi
-  :: atomic { state == ended || quit -> break }
+  :: atomic { state == ended || timed_out -> break }
   od
 }
 
 proctype Reader() {
   bool reading_disk = false;
   do
-  :: atomic { up && (state == ready || state == readout) && handed < PAGES && !reading_disk ->
+  :: atomic { alive && (state == ready || state == readout) && pages_sent < PAGES && !reading_disk ->
        if
-       :: held -> handed++;
-            if :: released -> after_release = true :: else fi;
-            if :: handed == PAGES && state == ready -> state = readout; served++ :: else fi
-       :: !held && on_disk -> reading_disk = true
-       :: !held && !on_disk -> skip
+       :: in_memory -> pages_sent++;
+            if :: released -> sent_after_release = true :: else fi;
+            if :: pages_sent == PAGES && state == ready -> state = readout; served++ :: else fi
+       :: !in_memory && on_disk -> reading_disk = true
+       :: !in_memory && !on_disk -> skip
        fi }
   :: atomic { reading_disk ->
        reading_disk = false;
 #ifdef BROKEN_RELEASE
-       if :: released -> after_release = true :: else fi;
+       if :: released -> sent_after_release = true :: else fi;
 #endif
        if
-       :: up && (state == ready || state == readout) -> handed++;
-            if :: handed == PAGES && state == ready -> state = readout; served++ :: else fi
-       :: else   /* it has ended: the reader is told, and gets nothing */
+       :: alive && (state == ready || state == readout) -> pages_sent++;
+            if :: pages_sent == PAGES && state == ready -> state = readout; served++ :: else fi
+       :: else   /* the result has ended: the reader gets an error and no page */
        fi }
-  :: atomic { up && state == readout && handed == PAGES -> state = ended; free_all() }    /* acknowledged */
-  :: atomic { up && (state == ready || state == readout) && !released -> released = true; state = ended; free_all() }
-  :: atomic { up && handed > 0 && handed < PAGES -> handed = 0 }                          /* drops, and resumes anew */
-  :: atomic { state == ended || quit -> reader_done = true; break }
+  :: atomic { alive && state == readout && pages_sent == PAGES -> state = ended; release_all() }    /* acknowledged */
+  :: atomic { alive && (state == ready || state == readout) && !released -> released = true; state = ended; release_all() }
+  :: atomic { alive && pages_sent > 0 && pages_sent < PAGES -> pages_sent = 0 }                          /* disconnects and resumes from the start */
+  :: atomic { state == ended || timed_out -> reader_done = true; break }
   od
 }
 
-/* kill -9, once; the next process has what was on disk. Memory goes with the process. */
+/* At most one kill -9: what is in memory is lost, and the next process has what was on disk. */
 proctype Restart() {
   if
-  :: atomic { up -> up = false; held = false; storing = false }
+  :: atomic { alive -> alive = false; in_memory = false; storing = false }
      atomic {
-       up = true; restarted = true;
+       alive = true; restarted = true;
        if
-       :: on_disk && (state == ready || state == readout) -> state = ready; served = 0   /* counted by each process */
+       :: on_disk && (state == ready || state == readout) -> state = ready; served = 0   /* each process counts on its own */
        :: else -> state = ended; on_disk = false; pages = 0
        fi }
   :: skip
@@ -122,9 +122,9 @@
 }
 
 proctype Clock() {
-  atomic { quit = true;   /* give-up time: whatever there is ends */
+  atomic { timed_out = true;   /* at the give-up time the request ends in any state */
     if :: answers == 0 && !restarted -> answers++ :: else fi;
-    state = ended; engine_busy = false; free_all() }
+    state = ended; engine_busy = false; release_all() }
 }
 
 init {
@@ -136,12 +136,12 @@
   assert(answers <= 1);
   assert(restarted || answers == 1);
   assert(!engine_busy);
-  assert(!held && !storing && !on_disk);
+  assert(!in_memory && !storing && !on_disk);
 }
 
 ltl one_answer { [] (answers <= 1) }
 ltl served_once { [] (served <= 1) }
-ltl never_mixed { [] (!mixed) }
-ltl nothing_after_release { [] (!after_release) }
-ltl load_once { [] (!load || runs <= 1) }
+ltl never_mixed { [] (!mixed_pages) }
+ltl nothing_after_release { [] (!sent_after_release) }
+ltl load_once { [] (!load || attempts <= 1) }
 ltl engine_freed { <> [] (!engine_busy) }
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -78,8 +78,8 @@
   found.incarnations = {fresh};
   if (!conf.ledger_folder.empty() || index) {
     if (!index) {
-      spool::posix_files(conf.ledger_folder);  // makes the folder, or says why not
-      index = spool::lmdb_index(conf.ledger_folder, conf.ledger_most);
+      spool::open_posix_files(conf.ledger_folder);  // makes the folder, or says why not
+      index = spool::open_lmdb_index(conf.ledger_folder, conf.ledger_most);
     }
     ledger_ = std::make_unique<LedgerWriter>(
         strand, std::move(index), settings.tenants, [this](const Record& record, bool durable) {
@@ -204,17 +204,17 @@
   running.give_up = now() + query.limit;
   running.repeatable =
       coordinator_.settings().classes[static_cast<std::size_t>(query.cls)].effect == Effect::kRepeatable;
-  running.spooled = spool_.submitted(query.id, query.tenant, act.request | kOwnReader, query.limit);
+  running.spooled = spool_.add_request(query.id, query.tenant, act.request | kOwnReader, query.limit);
   if (running.spooled) {
     query.sink = &spool_;
-    query.result_most = spool_.settings().logic.result_most;
+    query.result_most = spool_.settings().logic.max_result_bytes;
   }
   coordinator_.arrived(std::move(query));
 }
 
 void Edge::carry_out(const Withdraw& act) {
   running_.erase(act.request);
-  spool_.ended(act.request, spool::End::kInterrupted);
+  spool_.end_request(act.request, spool::EndReason::kInterrupted);
   coordinator_.client_gone(act.request);
 }
 
@@ -232,7 +232,8 @@
   Outcome outcome;
   if (answer.verdict != Verdict::kServed) {
     const bool refused = answer.verdict == Verdict::kRefused;
-    if (running.spooled) spool_.ended(id, refused ? spool::End::kRefused : spool::End::kFailed);
+    if (running.spooled)
+      spool_.end_request(id, refused ? spool::EndReason::kRefused : spool::EndReason::kFailed);
     outcome.how = refused ? Outcome::How::kRefused : Outcome::How::kFailed;
     outcome.again = refused || running.repeatable;
     outcome.later = answer.come_back;
@@ -262,12 +263,12 @@
     window.total_rows = window.rows;
     keep_whole(std::move(window));
   } else {
-    spool_.delivered(id, [&](const spool::Opened& opened) {
-      if (opened.how == spool::Opened::How::kHandle) {
+    spool_.complete(id, [&](const spool::Delivery& opened) {
+      if (opened.kind == spool::Delivery::Kind::kHandle) {
         result.handle = opened.handle;
         outcome.rows = opened.rows;
         outcome.bytes = opened.bytes;
-      } else if (opened.how == spool::Opened::How::kWhole) {
+      } else if (opened.kind == spool::Delivery::Kind::kWhole) {
         keep_whole(opened.window);
       } else {
         // It ran, and its rows found no room.
--- a/src/edge/ledger/ledger_store.cpp
+++ b/src/edge/ledger/ledger_store.cpp
@@ -81,7 +81,7 @@
   list.push_back({fresh, now_unix_us});
   while (list.size() > kIncarnationsMost) list.erase(list.begin());
   for (const json& one : list) found.incarnations.push_back(one.at(0));
-  if (index_.commit({{kIncarnations, to_bytes(list)}}) != spool::Io::kGood) {
+  if (index_.commit({{kIncarnations, to_bytes(list)}}) != spool::IoStatus::kOk) {
     closed_ = true;
     found.usable = false;
   }
@@ -112,9 +112,9 @@
     }
     changes.push_back({place(r), to_bytes(value)});
   }
-  const spool::Io done = index_.commit(changes);
-  if (done == spool::Io::kFailed) closed_ = true;
-  return done == spool::Io::kGood;
+  const spool::IoStatus done = index_.commit(changes);
+  if (done == spool::IoStatus::kFailed) closed_ = true;
+  return done == spool::IoStatus::kOk;
 }
 
 LedgerWriter::LedgerWriter(Strand strand, std::unique_ptr<spool::Index> index,
--- a/src/edge/logic/edge_logic.cpp
+++ b/src/edge/logic/edge_logic.cpp
@@ -48,7 +48,7 @@
   settings_ = settings;
   gate_.set(settings.gate);
   const std::size_t tenants = std::max<std::size_t>(1, settings.tenants.size());
-  memory_.set(settings.memory, std::vector<double>(tenants, 1.0));
+  memory_.configure(settings.memory, std::vector<double>(tenants, 1.0));
   by_tenant_.resize(tenants);
 }
 
@@ -609,7 +609,7 @@
 
 void EdgeLogic::free_flight(Session& session, Out& out) {
   if (out.charged == 0) return;
-  memory_.give_back(static_cast<std::size_t>(session.tenant), out.charged);
+  memory_.release(static_cast<std::size_t>(session.tenant), out.charged);
   session.in_flight -= std::min(session.in_flight, out.charged);
   out.charged = 0;
 }
@@ -635,13 +635,13 @@
     // Rows are fetched when they are to leave, and again when they are to leave again: none wait here.
     const std::uint32_t bytes = next->known ? next->bytes : session.page.bytes();
     if (session.in_flight > 0 && session.in_flight + bytes > settings_.window) return;
-    if (!memory_.take(static_cast<std::size_t>(session.tenant), bytes)) {
+    if (!memory_.try_charge(static_cast<std::size_t>(session.tenant), bytes)) {
       // One page a device goes in any case where its tenant has none on the way.
       if (memory_.used(static_cast<std::size_t>(session.tenant)) > 0) {
         if (!std::exchange(session.starving, true)) starving_.push_back(session.id);
         return;
       }
-      memory_.take_anyway(static_cast<std::size_t>(session.tenant), bytes);
+      memory_.force_charge(static_cast<std::size_t>(session.tenant), bytes);
     }
     next->charged = bytes;
     session.in_flight += bytes;
@@ -675,9 +675,9 @@
   const auto size = static_cast<std::uint32_t>(rows.text->size());
   // What was taken for it and what it is: a row may be longer than a page.
   if (size < next->charged) {
-    memory_.give_back(static_cast<std::size_t>(session.tenant), next->charged - size);
+    memory_.release(static_cast<std::size_t>(session.tenant), next->charged - size);
   } else {
-    memory_.take_anyway(static_cast<std::size_t>(session.tenant), size - next->charged);
+    memory_.force_charge(static_cast<std::size_t>(session.tenant), size - next->charged);
   }
   session.in_flight = session.in_flight - next->charged + size;
   next->charged = size;
--- a/src/edge/logic/edge_logic.h
+++ b/src/edge/logic/edge_logic.h
@@ -42,7 +42,7 @@
   std::size_t asks_most{32};        // of a session, open at a time
   std::uint32_t window{128 << 10};  // bytes of rows on the way to a device
   std::uint32_t page_least{4 << 10}, page_most{64 << 10};
-  spool::Marks memory{32u << 20, 0.9, 0.7, 0.5};  // rows on their way, of all devices
+  spool::BudgetSettings memory{32u << 20, 0.9, 0.7, 0.5};  // rows on their way, of all devices
   GateSettings gate;
   LedgerSettings ledger;
   bool operator==(const EdgeSettings&) const = default;
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -93,7 +93,7 @@
   bytes("window", "rows on the way to one device", 4 * kK, 16 * kM, "128k", into.logic.window);
   bytes("page-least", "rows in one message, on the slowest links", 256, 64 * kK, "4k", into.logic.page_least);
   bytes("page-most", "rows in one message, on the fastest", kK, 128 * kK, "64k", into.logic.page_most);
-  bytes("memory", "rows on the way to all devices", kM, 16 * kG, "32m", into.logic.memory.most);
+  bytes("memory", "rows on the way to all devices", kM, 16 * kG, "32m", into.logic.memory.max_bytes);
   count("rate", "devices let in a second, when many come at once", 1, 1e6, "500", into.logic.gate.rate);
   count("burst", "let in at once before that rate holds", 1, 1e6, "100", into.logic.gate.burst);
   count("waiting", "devices that may wait to be let in; the others are told when to come back", 1, 1e6,
--- a/src/operator.cpp
+++ b/src/operator.cpp
@@ -78,15 +78,16 @@
 }
 
 std::string misfit(const OperatorConf& conf, std::size_t memory_mb, std::size_t sockets) {
-  if (conf.edge.on && !conf.spool.on) return "edge: it keeps its rows in the block 'spool', which is missing";
+  if (conf.edge.on && !conf.spool.enabled)
+    return "edge: it keeps its rows in the block 'spool', which is missing";
   if (conf.edge.on && conf.edge.connections > sockets / 3)
     return "edge: 'connections' is more than a third of the " + std::to_string(sockets) +
            " descriptors that the coordinator has";
-  if (!conf.spool.on) return {};
-  if (conf.spool.logic.memory.most > (static_cast<std::uint64_t>(memory_mb) << 20) * 3 / 4)
+  if (!conf.spool.enabled) return {};
+  if (conf.spool.logic.memory.max_bytes > (static_cast<std::uint64_t>(memory_mb) << 20) * 3 / 4)
     return "spool: 'memory' is more than three quarters of the " + std::to_string(memory_mb) +
            " MB that the coordinator has";
-  if (conf.spool.sessions > sockets / 3)
+  if (conf.spool.max_sessions > sockets / 3)
     return "spool: 'sessions' is more than a third of the " + std::to_string(sockets) +
            " descriptors that the coordinator has";
   return {};
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -53,7 +53,7 @@
   if (!fault.empty()) throw std::runtime_error(conf_.path + ": " + fault);
   metrics_ = std::make_unique<Metrics>();
   take_routes(routes_of(conf_, config_.settings, config_.tables));
-  if (!conf_.spool.on) return;
+  if (!conf_.spool.enabled) return;
   std::vector<std::string> tenants;
   for (int i = 0; i < config_.tables.tenants.size(); ++i) tenants.push_back(config_.tables.tenants.name(i));
   spool_ = std::make_unique<spool::Spool>(strand_, log_, *metrics_, conf_.spool, std::move(tenants),
@@ -75,10 +75,10 @@
 edge::Fronts::Limits Server::edge_limits() const { return {conf_.edge.connections, conf_.edge.poll_wait}; }
 
 FramedServer::Limits Server::reader_limits() const {
-  return {.sessions = conf_.spool.sessions,
+  return {.sessions = conf_.spool.max_sessions,
           .store = (config_.memory_mb << 20) / kStorePart,
           .idle = std::max(conf_.spool.logic.lease, Micros{kSettle}),
-          .pause_at = conf_.spool.unread_most};
+          .pause_at = conf_.spool.max_unread_bytes};
 }
 
 void Server::start() {
@@ -207,7 +207,7 @@
     return config_.settings.gateways > kind.cores;
   });
   // Readers' connections and the spool's own files come out of the engines' part.
-  const std::size_t spool = conf_.spool.on ? conf_.spool.sessions + kSpoolDescriptors : 0;
+  const std::size_t spool = conf_.spool.enabled ? conf_.spool.max_sessions + kSpoolDescriptors : 0;
   const std::size_t edge = conf_.edge.on ? conf_.edge.connections + kSpoolDescriptors : 0;
   limits.connections -= std::min(spool + edge, limits.connections - 1);
   return limits;
@@ -249,7 +249,7 @@
 }
 
 void Server::write_metrics() {
-  if (spool_) spool_->observe();
+  if (spool_) spool_->update_gauges();
   if (edge_) edge_->observe();
   if (routes_) routes_->observe();
   if (!errands_) errands_ = std::make_unique<Worker>(1);
@@ -267,7 +267,7 @@
 // The last answers must be with the kernel before the process ends.
 void Server::leave() {
   // Whole results that only this process has wait for their readers: their leases and give-up times end that.
-  const bool spooled = !spool_ || (spool_->settled() && readers_->written_out());
+  const bool spooled = !spool_ || (spool_->drained() && readers_->written_out());
   // Devices that are there hear their answers; those on dead links have the ledger, and the next process.
   const bool edged = !edge_ || (edge_->settled() && edge_fronts_->written_out()) ||
                      std::chrono::steady_clock::now() > drain_until_;
--- a/src/spool/disk_tier.cpp
+++ b/src/spool/disk_tier.cpp
@@ -6,7 +6,7 @@
 
 namespace steprail::spool {
 namespace {
-// Of results in one batch: the reads behind it wait no longer than their writing takes.
+// Limit on the results of one batch, which bounds how long the reads queued behind it have to wait.
 constexpr std::uint64_t kBatchBytes = 4u << 20;
 }  // namespace
 
@@ -19,39 +19,39 @@
       self_(std::make_shared<DiskTier*>(this)),
       worker_(1) {}
 
-void DiskTier::put(StoredResult meta, std::shared_ptr<const Pages> pages, Put done) {
+void DiskTier::put(StoredResult meta, std::shared_ptr<const Pages> pages, PutCallback done) {
   Job job;
-  job.what = Job::What::kPut;
+  job.kind = Job::Kind::kPut;
   job.meta = std::move(meta);
   job.pages = std::move(pages);
   job.put_done = std::move(done);
-  add(std::move(job));
+  enqueue(std::move(job));
 }
 
-void DiskTier::read(std::uint64_t id, std::size_t first, std::size_t last, Read done) {
+void DiskTier::read(std::uint64_t id, std::size_t first, std::size_t last, ReadCallback done) {
   Job job;
-  job.what = Job::What::kRead;
+  job.kind = Job::Kind::kRead;
   job.meta.id = id;
   job.first = first;
   job.last = last;
   job.read_done = std::move(done);
-  add(std::move(job));
+  enqueue(std::move(job));
 }
 
 void DiskTier::erase(std::uint64_t id, std::function<void()> done) {
   Job job;
-  job.what = Job::What::kErase;
+  job.kind = Job::Kind::kErase;
   job.meta.id = id;
   job.erase_done = std::move(done);
-  add(std::move(job));
+  enqueue(std::move(job));
 }
 
-void DiskTier::add(Job job) {
+void DiskTier::enqueue(Job job) {
   queue_.push_back(std::move(job));
-  kick();
+  start_batch();
 }
 
-void DiskTier::kick() {
+void DiskTier::start_batch() {
   if (busy_ || queue_.empty()) return;
   auto batch = std::make_shared<Batch>();
   std::uint64_t bytes = 0;
@@ -63,24 +63,24 @@
   busy_ = true;
   ++batches_;
   worker_.post([this, batch, self = std::weak_ptr<DiskTier*>(self_)]() mutable {
-    work(*batch);
-    // The batch goes back with the answer: its pages are let go of on the strand alone.
+    run_batch(*batch);
+    // The batch is passed back with the completion, so that its pages are only ever released on the strand.
     boost::asio::post(strand_, [batch = std::move(batch), self = std::move(self)] {
-      if (const auto here = self.lock()) (*here)->finish(*batch);
+      if (const auto here = self.lock()) (*here)->finish_batch(*batch);
     });
   });
 }
 
-void DiskTier::work(Batch& batch) {
+void DiskTier::run_batch(Batch& batch) {
   for (std::size_t i = 0; i < batch.size();) {
     std::size_t end = i + 1;
-    while (end < batch.size() && batch[end].what == batch[i].what) ++end;
-    if (batch[i].what == Job::What::kPut) {
+    while (end < batch.size() && batch[end].kind == batch[i].kind) ++end;
+    if (batch[i].kind == Job::Kind::kPut) {
       std::vector<SegmentStore::Item> items;
       for (std::size_t j = i; j < end; ++j) {
         SegmentStore::Item item;
         item.meta = std::move(batch[j].meta);
-        for (const std::string& page : batch[j].pages->bytes) item.pages.push_back(page);
+        for (const std::string& page : batch[j].pages->contents) item.pages.push_back(page);
         items.push_back(std::move(item));
       }
       store_.put(items);
@@ -88,24 +88,24 @@
         batch[j].error = items[j - i].error;
         batch[j].on_disk = items[j - i].on_disk;
       }
-    } else if (batch[i].what == Job::What::kErase) {
+    } else if (batch[i].kind == Job::Kind::kErase) {
       std::vector<std::uint64_t> ids;
       for (std::size_t j = i; j < end; ++j) ids.push_back(batch[j].meta.id);
       store_.erase(ids);
     } else {
       for (std::size_t j = i; j < end; ++j)
-        batch[j].error = store_.read(batch[j].meta.id, batch[j].first, batch[j].last, batch[j].read);
+        batch[j].error = store_.read(batch[j].meta.id, batch[j].first, batch[j].last, batch[j].pages_read);
     }
     i = end;
   }
 }
 
-void DiskTier::finish(Batch& batch) {
+void DiskTier::finish_batch(Batch& batch) {
   busy_ = false;
-  kick();
+  start_batch();
   for (Job& job : batch) {
     if (job.put_done) job.put_done(job.error, job.on_disk);
-    if (job.read_done) job.read_done(job.error, std::move(job.read));
+    if (job.read_done) job.read_done(job.error, std::move(job.pages_read));
     if (job.erase_done) job.erase_done();
   }
 }
--- a/src/spool/disk_tier.h
+++ b/src/spool/disk_tier.h
@@ -1,5 +1,5 @@
-// The segment store on a thread of its own, behind a queue. What comes while the thread is busy is its next
-// batch: results that come together share one sync.
+// Runs the segment store on a thread of its own, behind a queue. Jobs that arrive while the thread is busy
+// form its next batch: results that complete together share one sync.
 #pragma once
 
 #include <deque>
@@ -18,36 +18,36 @@
  public:
   DiskTier(Strand strand, std::unique_ptr<Files> files, std::unique_ptr<Index> index, StoreSettings settings);
 
-  // Blocks: to be called at the start, before anybody is served.
+  // Blocks: call it at startup, before requests are served.
   SegmentStore::Recovery recover(std::int64_t now_unix_us) { return store_.recover(now_unix_us); }
 
-  // All of these answer on the strand, in the order in which they were asked.
-  using Put = std::function<void(StoreError, std::uint64_t on_disk)>;
-  using Read = std::function<void(StoreError, std::vector<std::string>)>;
-  void put(StoredResult meta, std::shared_ptr<const Pages> pages, Put done);
-  void read(std::uint64_t id, std::size_t first, std::size_t last, Read done);
+  // Callbacks run on the strand, in the order of the calls.
+  using PutCallback = std::function<void(StoreError, std::uint64_t on_disk)>;
+  using ReadCallback = std::function<void(StoreError, std::vector<std::string>)>;
+  void put(StoredResult meta, std::shared_ptr<const Pages> pages, PutCallback done);
+  void read(std::uint64_t id, std::size_t first, std::size_t last, ReadCallback done);
   void erase(std::uint64_t id, std::function<void()> done);
   bool idle() const { return !busy_ && queue_.empty(); }
-  std::uint64_t syncs() const { return batches_; }
+  std::uint64_t batch_count() const { return batches_; }
 
  private:
   struct Job {
-    enum class What { kPut, kRead, kErase } what{};
+    enum class Kind { kPut, kRead, kErase } kind{};
     StoredResult meta;
     std::shared_ptr<const Pages> pages;
     std::size_t first{}, last{};
     StoreError error{StoreError::kNone};
     std::uint64_t on_disk{};
-    std::vector<std::string> read;
-    Put put_done;
-    Read read_done;
+    std::vector<std::string> pages_read;
+    PutCallback put_done;
+    ReadCallback read_done;
     std::function<void()> erase_done;
   };
   using Batch = std::vector<Job>;
-  void add(Job job);
-  void kick();
-  void work(Batch& batch);
-  void finish(Batch& batch);
+  void enqueue(Job job);
+  void start_batch();
+  void run_batch(Batch& batch);
+  void finish_batch(Batch& batch);
 
   Strand strand_;
   std::unique_ptr<Files> files_;
@@ -56,7 +56,7 @@
   std::deque<Job> queue_;
   bool busy_{false};
   std::uint64_t batches_{0};
-  // Handlers that come after this object is gone find that out by it.
+  // Lets completion handlers that run after the destruction of this object detect it.
   std::shared_ptr<DiskTier*> self_;
   Worker worker_;
 };
--- a/src/spool/logic/budget.h
+++ b/src/spool/logic/budget.h
@@ -1,9 +1,9 @@
-// A budget in bytes, divided among tenants.
+// A budget in bytes that is divided among tenants.
 //
-// A part of the budget is reserved, by the tenants' weights; the rest goes to who comes first. Each tenant
-// can always have what is reserved for it, whatever the others hold: a request is let in only if, with it,
-// all that is used and all that is reserved but unused still fit. From the high mark down to the low one a
-// tenant gets nothing beyond its reserve.
+// A fraction of the budget is reserved for the tenants by weight; the rest is first come, first served. Each
+// tenant can always use its own reserve, whatever the other tenants hold: a charge is accepted only if
+// everything in use, the charge itself and all unused reserves together still fit. Once use exceeds the high
+// watermark, a tenant gets nothing beyond its reserve until use has fallen to the low watermark.
 #pragma once
 
 #include <algorithm>
@@ -14,97 +14,102 @@
 
 using Bytes = std::uint64_t;
 
-struct Marks {
-  Bytes most{};
-  double high{0.9}, low{0.7};  // of the whole
-  double reserved{0.5};        // of the whole, divided by weight
-  bool operator==(const Marks&) const = default;
+struct BudgetSettings {
+  Bytes max_bytes{};
+  double high_watermark{0.9}, low_watermark{0.7};  // fractions of max_bytes
+  double reserved_fraction{0.5};                   // fraction of max_bytes, divided by weight
+  bool operator==(const BudgetSettings&) const = default;
 };
 
 class Budget {
  public:
-  void set(const Marks& marks, const std::vector<double>& weights) {
-    marks_ = marks;
+  void configure(const BudgetSettings& settings, const std::vector<double>& weights) {
+    settings_ = settings;
     double sum = 0;
     for (const double weight : weights) sum += weight;
     tenants_.resize(std::max(tenants_.size(), weights.size()));
-    for (std::size_t t = 0; t < tenants_.size(); ++t) {
-      const double part = t < weights.size() && sum > 0 ? weights[t] / sum : 0;
-      tenants_[t].weight = part;
-      tenants_[t].reserve = static_cast<Bytes>(static_cast<double>(marks.most) * marks.reserved * part);
+    for (std::size_t tenant = 0; tenant < tenants_.size(); ++tenant) {
+      const double normalized = tenant < weights.size() && sum > 0 ? weights[tenant] / sum : 0;
+      tenants_[tenant].weight = normalized;
+      tenants_[tenant].reserve = static_cast<Bytes>(static_cast<double>(settings.max_bytes) *
+                                                    settings.reserved_fraction * normalized);
     }
-    look();
+    update_pressure();
   }
 
   bool fits(std::size_t tenant, Bytes bytes) const {
     const Tenant& own = tenants_[tenant];
-    const Bytes wanted = own.used + bytes;
-    if (pressed_ && wanted > own.reserve) return false;
-    // What the others may still claim stays theirs. A budget that was lowered below its use lets in nothing.
+    const Bytes own_bytes = own.used + bytes;
+    if (under_pressure_ && own_bytes > own.reserve) return false;
+    // The unused reserves of other tenants stay available to them. A budget that was lowered below its
+    // current use accepts nothing.
     Bytes total = used_ + bytes;
-    if (total > marks_.most) return false;
-    for (std::size_t t = 0; t < tenants_.size(); ++t) {
-      const Bytes used = t == tenant ? wanted : tenants_[t].used;
-      if (used < tenants_[t].reserve) total += tenants_[t].reserve - used;
+    if (total > settings_.max_bytes) return false;
+    for (std::size_t other = 0; other < tenants_.size(); ++other) {
+      const Bytes other_bytes = other == tenant ? own_bytes : tenants_[other].used;
+      if (other_bytes < tenants_[other].reserve) total += tenants_[other].reserve - other_bytes;
     }
-    return total <= marks_.most;
+    return total <= settings_.max_bytes;
   }
 
-  bool take(std::size_t tenant, Bytes bytes) {
+  bool try_charge(std::size_t tenant, Bytes bytes) {
     if (!fits(tenant, bytes)) return false;
     tenants_[tenant].used += bytes;
     used_ += bytes;
     peak_ = std::max(peak_, used_);
-    look();
+    update_pressure();
     return true;
   }
 
-  void give_back(std::size_t tenant, Bytes bytes) {
+  void release(std::size_t tenant, Bytes bytes) {
     bytes = std::min(bytes, tenants_[tenant].used);
     tenants_[tenant].used -= bytes;
     used_ -= bytes;
-    look();
+    update_pressure();
   }
 
-  // What is here already and cannot be turned away, as after a restart.
-  void take_anyway(std::size_t tenant, Bytes bytes) {
+  // Charges bytes that are already held and cannot be refused, as after a restart.
+  void force_charge(std::size_t tenant, Bytes bytes) {
     tenants_[tenant].used += bytes;
     used_ += bytes;
     peak_ = std::max(peak_, used_);
-    look();
+    update_pressure();
   }
 
-  // How much of what it may count on a tenant uses; who stands highest gives up something first.
-  double pressure(std::size_t tenant) const {
+  // Bytes in use relative to the tenant's weight; results of the tenant with the highest value are evicted
+  // first.
+  double usage_per_weight(std::size_t tenant) const {
     const Tenant& own = tenants_[tenant];
     return own.weight > 0 ? static_cast<double>(own.used) / own.weight : static_cast<double>(own.used) * 1e9;
   }
 
-  bool pressed() const { return pressed_; }
+  bool under_pressure() const { return under_pressure_; }
   Bytes used() const { return used_; }
   Bytes used(std::size_t tenant) const { return tenants_[tenant].used; }
   Bytes reserve(std::size_t tenant) const { return tenants_[tenant].reserve; }
-  Bytes most() const { return marks_.most; }
+  Bytes max_bytes() const { return settings_.max_bytes; }
   Bytes peak() const { return peak_; }
-  Bytes high() const { return part(marks_.high); }
-  Bytes low() const { return part(marks_.low); }
-  std::size_t tenants() const { return tenants_.size(); }
+  Bytes high_watermark() const { return fraction_of_max(settings_.high_watermark); }
+  Bytes low_watermark() const { return fraction_of_max(settings_.low_watermark); }
+  std::size_t tenant_count() const { return tenants_.size(); }
 
  private:
   struct Tenant {
     double weight{};
     Bytes reserve{}, used{};
   };
-  Bytes part(double share) const { return static_cast<Bytes>(static_cast<double>(marks_.most) * share); }
-  void look() {
-    if (used_ > high()) pressed_ = true;
-    if (used_ <= low()) pressed_ = false;
+  Bytes fraction_of_max(double fraction) const {
+    return static_cast<Bytes>(static_cast<double>(settings_.max_bytes) * fraction);
+  }
+  void update_pressure() {
+    if (used_ > high_watermark()) under_pressure_ = true;
+    if (used_ <= low_watermark()) under_pressure_ = false;
   }
 
-  Marks marks_;
+  BudgetSettings settings_;
   std::vector<Tenant> tenants_;
   Bytes used_{0}, peak_{0};
-  bool pressed_{false};
+  bool under_pressure_{false};
 };
 
 }  // namespace steprail::spool
--- a/src/spool/logic/spool_logic.cpp
+++ b/src/spool/logic/spool_logic.cpp
@@ -6,87 +6,89 @@
 
 namespace steprail::spool {
 namespace {
-constexpr Micros kTick{1000};
-constexpr Bytes kDiskOverhead = 64;  // a record's head and more, a chunk; corrected once it is stored
+constexpr Micros kTimerTick{1000};
+// Estimate of record headers and chunk entries; replaced by the real size once the result is stored.
+constexpr Bytes kDiskOverhead = 64;
 }  // namespace
 
 SpoolLogic::SpoolLogic(LogicSettings settings, std::vector<double> weights, Micros now)
-    : settings_(settings), disk_open_(settings.disk.most > 0), wheel_(kTick, now) {
-  std::vector<Order> none;
+    : settings_(settings), disk_usable_(settings.disk.max_bytes > 0), lease_timers_(kTimerTick, now) {
+  std::vector<SpoolAction> none;
   if (weights.empty()) weights.push_back(1);
-  eviction_.resize(weights.size());
+  lru_by_tenant_.resize(weights.size());
   reconfigure(settings, weights, none);
 }
 
 void SpoolLogic::reconfigure(const LogicSettings& settings, const std::vector<double>& weights,
-                             std::vector<Order>& out) {
+                             std::vector<SpoolAction>& out) {
   settings_ = settings;
-  Marks memory = settings.memory;
-  memory.most -= borrow_most();
-  memory_.set(memory, weights);
-  disk_.set(settings.disk, weights);
-  read_.set({borrow_most(), 1, 0.99, settings.memory.reserved}, weights);
-  relieve(out);
+  BudgetSettings memory = settings.memory;
+  memory.max_bytes -= max_read_back_bytes();
+  memory_.configure(memory, weights);
+  disk_.configure(settings.disk, weights);
+  read_back_.configure({max_read_back_bytes(), 1, 0.99, settings.memory.reserved_fraction}, weights);
+  evict_to_disk(out);
 }
 
-Bytes SpoolLogic::borrow_most() const {
-  if (settings_.disk.most == 0) return 0;
-  return static_cast<Bytes>(static_cast<double>(settings_.memory.most) * settings_.read_part);
+Bytes SpoolLogic::max_read_back_bytes() const {
+  if (settings_.disk.max_bytes == 0) return 0;
+  return static_cast<Bytes>(static_cast<double>(settings_.memory.max_bytes) * settings_.read_back_fraction);
 }
 
-void SpoolLogic::move(Result& result, State to) {
-  assert(may_follow(result.state, to));
+void SpoolLogic::set_state(Result& result, State to) {
+  assert(is_valid_transition(result.state, to));
   result.state = to;
 }
 
-// ---- A request ----
+// ---- Requests ----
 
-bool SpoolLogic::submitted(ResultId id, std::size_t tenant, std::string handle, ReaderId reader,
-                           Micros give_up) {
-  if (results_.size() >= settings_.results_most || on_disk_.contains(id) || handles_.contains(handle))
+bool SpoolLogic::add_request(ResultId id, std::size_t tenant, std::string handle, ReaderId reader,
+                             Micros give_up_at) {
+  if (results_.size() >= settings_.max_results || disk_entries_.contains(id) ||
+      results_by_handle_.contains(handle))
     return false;
-  const auto [at, fresh] = results_.try_emplace(id);
-  if (!fresh) return false;
+  const auto [at, inserted] = results_.try_emplace(id);
+  if (!inserted) return false;
   Result& result = at->second;
-  result.tenant = std::min(tenant, memory_.tenants() - 1);
+  result.tenant = std::min(tenant, memory_.tenant_count() - 1);
   result.handle = std::move(handle);
-  result.give_up = give_up;
-  handles_.emplace(result.handle, id);
+  result.give_up_at = give_up_at;
+  results_by_handle_.emplace(result.handle, id);
   result.reader = reader;
-  if (reader != kNoReader) readers_[reader].push_back(id);
-  watch(id, result, give_up);
+  if (reader != kNoReader) results_by_reader_[reader].push_back(id);
+  set_expiry(id, result, give_up_at);
   return true;
 }
 
-Placement SpoolLogic::begin(ResultId id, Bytes expected) {
+Placement SpoolLogic::begin_attempt(ResultId id, Bytes expected) {
   const auto at = results_.find(id);
   if (at == results_.end()) return Placement::kRefused;
   Result& result = at->second;
-  move(result, State::kFilling);
+  set_state(result, State::kFilling);
   result.direct = false;
   if (too_long(expected)) return Placement::kRefused;
-  if (memory_.take(result.tenant, expected)) {
+  if (memory_.try_charge(result.tenant, expected)) {
     result.charged = expected;
     return Placement::kSpool;
   }
-  result.direct = expected <= settings_.direct_most;
+  result.direct = expected <= settings_.max_direct_bytes;
   return result.direct ? Placement::kDirect : Placement::kRefused;
 }
 
-bool SpoolLogic::page(ResultId id, std::uint64_t rows, Bytes bytes) {
+bool SpoolLogic::add_page(ResultId id, std::uint64_t rows, Bytes bytes) {
   const auto at = results_.find(id);
   if (at == results_.end() || at->second.state != State::kFilling) return false;
   Result& result = at->second;
-  const Bytes filled = result.filled + bytes;
-  if (filled > settings_.result_most) return false;
+  const Bytes received = result.received + bytes;
+  if (received > settings_.max_result_bytes) return false;
   if (result.direct) {
-    if (filled > settings_.direct_most) return false;
-  } else if (filled > result.charged) {
-    if (!memory_.take(result.tenant, filled - result.charged)) return false;
-    result.charged = filled;
+    if (received > settings_.max_direct_bytes) return false;
+  } else if (received > result.charged) {
+    if (!memory_.try_charge(result.tenant, received - result.charged)) return false;
+    result.charged = received;
   }
-  result.filled = filled;
-  result.index.add(rows, bytes);
+  result.received = received;
+  result.index.append(rows, bytes);
   return true;
 }
 
@@ -94,63 +96,64 @@
   const auto at = results_.find(id);
   if (at == results_.end() || at->second.state != State::kFilling) return;
   Result& result = at->second;
-  move(result, State::kRunning);
-  result.charged = result.filled = 0;
+  set_state(result, State::kRunning);
+  result.charged = result.received = 0;
   result.index.clear();
 }
 
-void SpoolLogic::complete(ResultId id, Micros now, std::vector<Order>& out) {
+void SpoolLogic::complete(ResultId id, Micros now, std::vector<SpoolAction>& out) {
   const auto at = results_.find(id);
   if (at == results_.end()) return;
   Result& result = at->second;
-  move(result, State::kReady);
-  if (result.direct) return end(at, End::kDirect, out);
-  memory_.give_back(result.tenant, result.charged - result.filled);
-  result.charged = result.filled;
-  touch(id, result, now);
-  if (settings_.disk_above > 0 && result.filled >= settings_.disk_above) store(id, result, out);
-  relieve(out);
+  set_state(result, State::kReady);
+  if (result.direct) return end_result(at, EndReason::kAnsweredDirectly, out);
+  memory_.release(result.tenant, result.charged - result.received);
+  result.charged = result.received;
+  renew_lease(id, result, now);
+  if (settings_.disk_threshold > 0 && result.received >= settings_.disk_threshold)
+    schedule_store(id, result, out);
+  evict_to_disk(out);
 }
 
-void SpoolLogic::ended(ResultId id, End why, std::vector<Order>& out) {
+void SpoolLogic::end_request(ResultId id, EndReason reason, std::vector<SpoolAction>& out) {
   const auto at = results_.find(id);
-  if (at != results_.end()) end(at, why, out);
+  if (at != results_.end()) end_result(at, reason, out);
 }
 
-void SpoolLogic::end(Results::iterator at, End why, std::vector<Order>& out) {
+void SpoolLogic::end_result(Results::iterator at, EndReason reason, std::vector<SpoolAction>& out) {
   const ResultId id = at->first;
   Result& result = at->second;
-  move(result, State::kEnded);
-  wheel_.cancel(result.timer);
-  unplace(result);
+  set_state(result, State::kEnded);
+  lease_timers_.cancel(result.timer);
+  remove_from_lru(result);
   if (result.storing) storing_bytes_ -= result.charged;
-  handles_.erase(result.handle);
+  results_by_handle_.erase(result.handle);
   if (result.reader != kNoReader) {
-    const auto reader = readers_.find(result.reader);
-    if (reader != readers_.end()) {
+    const auto reader = results_by_reader_.find(result.reader);
+    if (reader != results_by_reader_.end()) {
       std::erase(reader->second, id);
-      if (reader->second.empty()) readers_.erase(reader);
+      if (reader->second.empty()) results_by_reader_.erase(reader);
     }
   }
-  remember(id, result, why);
-  out.push_back(Drop{id, why, on_disk_.contains(id)});
+  remember_end(id, result, reason);
+  out.push_back(DropAction{id, reason, disk_entries_.contains(id)});
   results_.erase(at);
 }
 
-void SpoolLogic::remember(ResultId id, const Result& result, End why) {
-  if (settings_.remembered == 0) return;
-  const std::uint64_t serial = ++past_serial_;
-  past_.emplace(serial, Past{id, result.tenant, result.handle, why});
-  past_order_.push_back(serial);
-  past_ids_[id] = serial;
-  past_handles_[result.handle] = serial;
-  while (past_order_.size() > settings_.remembered) {
-    const auto oldest = past_.find(past_order_.front());
-    const auto by_id = past_ids_.find(oldest->second.id);
-    if (by_id != past_ids_.end() && by_id->second == oldest->first) past_ids_.erase(by_id);
-    past_handles_.erase(oldest->second.handle);
-    past_.erase(oldest);
-    past_order_.pop_front();
+void SpoolLogic::remember_end(ResultId id, const Result& result, EndReason reason) {
+  if (settings_.max_remembered == 0) return;
+  const std::uint64_t serial = ++last_ended_serial_;
+  ended_.emplace(serial, EndedResult{id, result.tenant, result.handle, reason});
+  ended_order_.push_back(serial);
+  ended_by_id_[id] = serial;
+  ended_by_handle_[result.handle] = serial;
+  while (ended_order_.size() > settings_.max_remembered) {
+    const auto oldest = ended_.find(ended_order_.front());
+    const auto by_id = ended_by_id_.find(oldest->second.id);
+    if (by_id != ended_by_id_.end() && by_id->second == oldest->first) ended_by_id_.erase(by_id);
+    ended_by_handle_.erase(oldest->second.handle);
+    ended_.erase(oldest);
+    ended_order_.pop_front();
   }
 }
 
@@ -160,39 +163,39 @@
   Grant grant;
   const auto at = results_.find(id);
   if (at == results_.end()) {
-    const auto past = past_ids_.find(id);
-    if (past == past_ids_.end()) return grant;
-    const Past& known = past_.at(past->second);
-    if (known.tenant == tenant) grant.access = Access::kEnded, grant.end = known.why;
+    const auto past = ended_by_id_.find(id);
+    if (past == ended_by_id_.end()) return grant;
+    const EndedResult& known = ended_.at(past->second);
+    if (known.tenant == tenant) grant.access = Access::kEnded, grant.end_reason = known.reason;
     return grant;
   }
   Result& result = at->second;
   if (result.tenant != tenant) return grant;
   grant.id = id;
-  if (now >= result.give_up) {
-    grant.access = Access::kEnded, grant.end = End::kGivenUp;
+  if (now >= result.give_up_at) {
+    grant.access = Access::kEnded, grant.end_reason = EndReason::kGivenUp;
     return grant;
   }
   if (result.reader != reader) {
-    if (result.reader != kNoReader) std::erase(readers_[result.reader], id);
+    if (result.reader != kNoReader) std::erase(results_by_reader_[result.reader], id);
     result.reader = reader;
-    readers_[reader].push_back(id);
+    results_by_reader_[reader].push_back(id);
   }
-  grant.access = result.state >= State::kReady ? Access::kGranted : Access::kNotYet;
+  grant.access = result.state >= State::kReady ? Access::kGranted : Access::kIncomplete;
   grant.on_disk = result.on_disk;
-  if (grant.access == Access::kGranted) touch(id, result, now);
+  if (grant.access == Access::kGranted) renew_lease(id, result, now);
   return grant;
 }
 
-Grant SpoolLogic::open(std::string_view handle, std::size_t tenant, ReaderId reader) {
+Grant SpoolLogic::check_access(std::string_view handle, std::size_t tenant, ReaderId reader) {
   Grant grant;
   const std::string key(handle);
-  const auto found = handles_.find(key);
-  if (found == handles_.end()) {
-    const auto past = past_handles_.find(key);
-    if (past == past_handles_.end()) return grant;
-    const Past& known = past_.at(past->second);
-    if (known.tenant == tenant) grant.access = Access::kEnded, grant.end = known.why;
+  const auto found = results_by_handle_.find(key);
+  if (found == results_by_handle_.end()) {
+    const auto past = ended_by_handle_.find(key);
+    if (past == ended_by_handle_.end()) return grant;
+    const EndedResult& known = ended_.at(past->second);
+    if (known.tenant == tenant) grant.access = Access::kEnded, grant.end_reason = known.reason;
     return grant;
   }
   Result& result = results_.at(found->second);
@@ -200,12 +203,12 @@
   grant.id = found->second;
   if (result.reader == kNoReader) {
     result.reader = reader;
-    readers_[reader].push_back(grant.id);
+    results_by_reader_[reader].push_back(grant.id);
   }
   if (result.reader != reader) {
     grant.access = Access::kOtherReader;
   } else {
-    grant.access = result.state >= State::kReady ? Access::kGranted : Access::kNotYet;
+    grant.access = result.state >= State::kReady ? Access::kGranted : Access::kIncomplete;
   }
   grant.on_disk = result.on_disk;
   return grant;
@@ -213,87 +216,87 @@
 
 Grant SpoolLogic::fetch_row(std::string_view handle, std::size_t tenant, ReaderId reader, std::uint64_t row,
                             Bytes window, Micros now) {
-  Grant grant = open(handle, tenant, reader);
+  Grant grant = check_access(handle, tenant, reader);
   if (grant.access != Access::kGranted) return grant;
   Result& result = results_.at(grant.id);
-  // The end of an empty result is its beginning.
-  if (row >= result.index.rows() && (row > 0 || result.index.rows() > 0)) {
-    grant.access = Access::kBeyond;
+  // Row 0 of an empty result is valid, so that the reader gets its (empty) last window.
+  if (row >= result.index.row_count() && (row > 0 || result.index.row_count() > 0)) {
+    grant.access = Access::kOutOfRange;
     return grant;
   }
-  touch(grant.id, result, now);
-  grant.first_page = result.index.rows() == 0 ? 0 : result.index.page_of(row);
-  grant.end_page = result.index.end_of_window(grant.first_page, window);
+  renew_lease(grant.id, result, now);
+  grant.first_page = result.index.row_count() == 0 ? 0 : result.index.page_of(row);
+  grant.end_page = result.index.window_end(grant.first_page, window);
   grant.first_row = row;
   return grant;
 }
 
 Grant SpoolLogic::fetch_page(std::string_view handle, std::size_t tenant, ReaderId reader, std::size_t page,
                              Bytes window, Micros now) {
-  Grant grant = open(handle, tenant, reader);
+  Grant grant = check_access(handle, tenant, reader);
   if (grant.access != Access::kGranted) return grant;
   Result& result = results_.at(grant.id);
-  if (page >= result.index.pages()) {
-    grant.access = Access::kBeyond;
+  if (page >= result.index.page_count()) {
+    grant.access = Access::kOutOfRange;
     return grant;
   }
-  touch(grant.id, result, now);
+  renew_lease(grant.id, result, now);
   grant.first_page = page;
-  grant.end_page = result.index.end_of_window(page, window);
+  grant.end_page = result.index.window_end(page, window);
   grant.first_row = result.index.first_row(page);
   return grant;
 }
 
 Grant SpoolLogic::acknowledge(std::string_view handle, std::size_t tenant, ReaderId reader,
-                              std::uint64_t rows, Micros now, std::vector<Order>& out) {
-  Grant grant = open(handle, tenant, reader);
+                              std::uint64_t rows, Micros now, std::vector<SpoolAction>& out) {
+  Grant grant = check_access(handle, tenant, reader);
   if (grant.access != Access::kGranted) return grant;
   const auto at = results_.find(grant.id);
   Result& result = at->second;
-  if (rows > result.handed) {
-    grant.access = Access::kBeyond;  // nobody has rows that were never handed out
+  if (rows > result.sent_rows) {
+    grant.access = Access::kOutOfRange;  // rows that were never sent cannot be acknowledged
     return grant;
   }
   result.acknowledged = std::max(result.acknowledged, rows);
-  touch(grant.id, result, now);
-  // Also of one that a process before this one has handed out to its last row.
-  if (result.acknowledged == result.index.rows()) end(at, End::kAcknowledged, out);
+  renew_lease(grant.id, result, now);
+  // Also holds for a result that an earlier process sent to its last row.
+  if (result.acknowledged == result.index.row_count()) end_result(at, EndReason::kAcknowledged, out);
   return grant;
 }
 
 Grant SpoolLogic::release(std::string_view handle, std::size_t tenant, ReaderId reader,
-                          std::vector<Order>& out) {
-  Grant grant = open(handle, tenant, reader);
+                          std::vector<SpoolAction>& out) {
+  Grant grant = check_access(handle, tenant, reader);
   if (grant.access != Access::kGranted) return grant;
-  end(results_.find(grant.id), End::kReleased, out);
+  end_result(results_.find(grant.id), EndReason::kReleased, out);
   return grant;
 }
 
-bool SpoolLogic::handed_out(ResultId id, std::uint64_t end_row) {
+bool SpoolLogic::mark_sent(ResultId id, std::uint64_t end_row) {
   const auto at = results_.find(id);
   if (at == results_.end() || at->second.state < State::kReady) return false;
   Result& result = at->second;
-  result.handed = std::max(result.handed, end_row);
-  if (result.state != State::kReady || end_row < result.index.rows()) return false;
-  move(result, State::kRead);
+  result.sent_rows = std::max(result.sent_rows, end_row);
+  if (result.state != State::kReady || end_row < result.index.row_count()) return false;
+  set_state(result, State::kRead);
   return true;
 }
 
-void SpoolLogic::reader_gone(ReaderId reader) {
-  const auto at = readers_.find(reader);
-  if (at == readers_.end()) return;
+void SpoolLogic::reader_disconnected(ReaderId reader) {
+  const auto at = results_by_reader_.find(reader);
+  if (at == results_by_reader_.end()) return;
   for (const ResultId id : at->second) {
     const auto result = results_.find(id);
     if (result != results_.end() && result->second.reader == reader) result->second.reader = kNoReader;
   }
-  readers_.erase(at);
+  results_by_reader_.erase(at);
 }
 
 // ---- Memory and disk ----
 
-void SpoolLogic::freed(std::size_t tenant, Bytes bytes, std::vector<Order>& out) {
-  memory_.give_back(std::min(tenant, memory_.tenants() - 1), bytes);
-  relieve(out);
+void SpoolLogic::memory_freed(std::size_t tenant, Bytes bytes, std::vector<SpoolAction>& out) {
+  memory_.release(std::min(tenant, memory_.tenant_count() - 1), bytes);
+  evict_to_disk(out);
 }
 
 Bytes SpoolLogic::charged(ResultId id) const {
@@ -301,53 +304,56 @@
   return at == results_.end() ? 0 : at->second.charged;
 }
 
-bool SpoolLogic::borrow(std::size_t tenant, Bytes bytes) {
-  if (read_.take(tenant, bytes)) return true;
-  // A tenant that has nothing gets one window in any case, or a long one could never be read.
-  if (read_.used(tenant) > 0) return false;
-  read_.take_anyway(tenant, bytes);
+bool SpoolLogic::reserve_read_back(std::size_t tenant, Bytes bytes) {
+  if (read_back_.try_charge(tenant, bytes)) return true;
+  // A tenant without any read under way gets one window in any case; otherwise a window larger than its
+  // budget could never be read.
+  if (read_back_.used(tenant) > 0) return false;
+  read_back_.force_charge(tenant, bytes);
   return true;
 }
 
-void SpoolLogic::returned(std::size_t tenant, Bytes bytes) { read_.give_back(tenant, bytes); }
+void SpoolLogic::read_back_freed(std::size_t tenant, Bytes bytes) { read_back_.release(tenant, bytes); }
 
-bool SpoolLogic::store(ResultId id, Result& result, std::vector<Order>& out) {
-  if (!disk_open_ || result.storing || result.on_disk) return false;
-  const Bytes wanted = result.filled + kDiskOverhead;
-  if (!disk_.take(result.tenant, wanted)) return false;
-  on_disk_.emplace(id, OnDisk{result.tenant, wanted});
+bool SpoolLogic::schedule_store(ResultId id, Result& result, std::vector<SpoolAction>& out) {
+  if (!disk_usable_ || result.storing || result.on_disk) return false;
+  const Bytes bytes = result.received + kDiskOverhead;
+  if (!disk_.try_charge(result.tenant, bytes)) return false;
+  disk_entries_.emplace(id, DiskEntry{result.tenant, bytes});
   result.storing = true;
   storing_bytes_ += result.charged;
-  unplace(result);
-  out.push_back(Store{id});
+  remove_from_lru(result);
+  out.push_back(StoreAction{id});
   return true;
 }
 
-// Under pressure, from the high mark down to the low one: the tenant that stands highest over its share gives
-// up the result that was left alone for longest. What is on its way to disk counts as gone already.
-void SpoolLogic::relieve(std::vector<Order>& out) {
-  if (!disk_open_ || !memory_.pressed()) return;
-  std::vector<bool> full(eviction_.size());
-  while (memory_.used() > memory_.low() + storing_bytes_) {
-    std::optional<std::size_t> most;
-    for (std::size_t t = 0; t < eviction_.size(); ++t) {
-      if (full[t] || eviction_[t].empty()) continue;
-      if (!most || memory_.pressure(t) > memory_.pressure(*most)) most = t;
+// Called under memory pressure, between the high and the low watermark: evicts the least recently used result
+// of the tenant with the highest use per weight. Results that are being stored count as evicted already.
+void SpoolLogic::evict_to_disk(std::vector<SpoolAction>& out) {
+  if (!disk_usable_ || !memory_.under_pressure()) return;
+  std::vector<bool> disk_full(lru_by_tenant_.size());
+  while (memory_.used() > memory_.low_watermark() + storing_bytes_) {
+    std::optional<std::size_t> heaviest;
+    for (std::size_t tenant = 0; tenant < lru_by_tenant_.size(); ++tenant) {
+      if (disk_full[tenant] || lru_by_tenant_[tenant].empty()) continue;
+      if (!heaviest || memory_.usage_per_weight(tenant) > memory_.usage_per_weight(*heaviest))
+        heaviest = tenant;
     }
-    if (!most) return;
-    const ResultId id = eviction_[*most].front();
-    if (!store(id, results_.at(id), out)) full[*most] = true;
+    if (!heaviest) return;
+    const ResultId id = lru_by_tenant_[*heaviest].front();
+    if (!schedule_store(id, results_.at(id), out)) disk_full[*heaviest] = true;
   }
 }
 
-void SpoolLogic::stored(ResultId id, Bytes on_disk) {
-  const auto entry = on_disk_.find(id);
-  if (entry == on_disk_.end()) return;
-  disk_.give_back(entry->second.tenant, entry->second.bytes);
+void SpoolLogic::store_succeeded(ResultId id, Bytes on_disk) {
+  const auto entry = disk_entries_.find(id);
+  if (entry == disk_entries_.end()) return;
+  disk_.release(entry->second.tenant, entry->second.bytes);
   entry->second.bytes = on_disk;
-  disk_.take_anyway(entry->second.tenant, on_disk);
+  disk_.force_charge(entry->second.tenant, on_disk);
   const auto at = results_.find(id);
-  if (at == results_.end()) return;  // it has ended; the order to erase it is under way
+  // the result has ended; the action to erase it is queued behind the store
+  if (at == results_.end()) return;
   Result& result = at->second;
   result.storing = false;
   result.on_disk = true;
@@ -355,106 +361,109 @@
   result.charged = 0;
 }
 
-void SpoolLogic::not_stored(ResultId id) {
+void SpoolLogic::store_failed(ResultId id) {
   const auto at = results_.find(id);
-  if (at == results_.end()) return;  // erased() follows
+  if (at == results_.end()) return;  // disk_erased() follows
   Result& result = at->second;
   result.storing = false;
   storing_bytes_ -= result.charged;
-  erased(id);
-  place(id, result);
+  disk_erased(id);
+  add_to_lru(id, result);
 }
 
-void SpoolLogic::erased(ResultId id) {
-  const auto entry = on_disk_.find(id);
-  if (entry == on_disk_.end()) return;
-  disk_.give_back(entry->second.tenant, entry->second.bytes);
-  on_disk_.erase(entry);
+void SpoolLogic::disk_erased(ResultId id) {
+  const auto entry = disk_entries_.find(id);
+  if (entry == disk_entries_.end()) return;
+  disk_.release(entry->second.tenant, entry->second.bytes);
+  disk_entries_.erase(entry);
 }
 
-void SpoolLogic::disk_closed() { disk_open_ = false; }
+void SpoolLogic::disk_failed() { disk_usable_ = false; }
 
-bool SpoolLogic::recovered(ResultId id, std::size_t tenant, std::string handle, PageIndex index,
-                           std::uint64_t acknowledged, Bytes on_disk, Micros give_up, Micros now) {
-  if (give_up <= now || !submitted(id, tenant, std::move(handle), kNoReader, give_up)) return false;
+bool SpoolLogic::add_recovered(ResultId id, std::size_t tenant, std::string handle, PageIndex index,
+                               std::uint64_t acknowledged, Bytes on_disk, Micros give_up_at, Micros now) {
+  if (give_up_at <= now || !add_request(id, tenant, std::move(handle), kNoReader, give_up_at)) return false;
   Result& result = results_.at(id);
-  move(result, State::kFilling);
-  move(result, State::kReady);
-  result.filled = index.bytes();
+  set_state(result, State::kFilling);
+  set_state(result, State::kReady);
+  result.received = index.byte_count();
   result.index = std::move(index);
-  // What the process before has handed out is not known: a reader may acknowledge all of it.
-  result.handed = result.index.rows();
+  // It is not known how much the earlier process sent: a reader may acknowledge all of it.
+  result.sent_rows = result.index.row_count();
   result.acknowledged = acknowledged;
   result.on_disk = true;
-  on_disk_.emplace(id, OnDisk{result.tenant, on_disk});
-  disk_.take_anyway(result.tenant, on_disk);
-  touch(id, result, now);
+  disk_entries_.emplace(id, DiskEntry{result.tenant, on_disk});
+  disk_.force_charge(result.tenant, on_disk);
+  renew_lease(id, result, now);
   return true;
 }
 
-void SpoolLogic::store_all(std::vector<Order>& out) {
+void SpoolLogic::store_all(std::vector<SpoolAction>& out) {
   for (auto& [id, result] : results_) {
-    if (result.state >= State::kReady) store(id, result, out);
+    if (result.state >= State::kReady) schedule_store(id, result, out);
   }
 }
 
 // ---- Leases ----
 
-void SpoolLogic::watch(ResultId id, Result& result, Micros until) {
-  wheel_.cancel(result.timer);
-  result.expires = until;
-  result.timer = wheel_.schedule(until, id);
+void SpoolLogic::set_expiry(ResultId id, Result& result, Micros expires_at) {
+  lease_timers_.cancel(result.timer);
+  result.expires_at = expires_at;
+  result.timer = lease_timers_.schedule(expires_at, id);
 }
 
-// A reader was here: the lease begins anew, and the result goes to the end of the order of eviction.
-void SpoolLogic::touch(ResultId id, Result& result, Micros now) {
-  watch(id, result, std::min(now + settings_.lease, result.give_up));
-  unplace(result);
-  place(id, result);
+// Called when a reader has used the result: restarts the lease and moves the result to the end of the LRU
+// list.
+void SpoolLogic::renew_lease(ResultId id, Result& result, Micros now) {
+  set_expiry(id, result, std::min(now + settings_.lease, result.give_up_at));
+  remove_from_lru(result);
+  add_to_lru(id, result);
 }
 
-void SpoolLogic::place(ResultId id, Result& result) {
+void SpoolLogic::add_to_lru(ResultId id, Result& result) {
   if (result.on_disk || result.storing || result.charged == 0) return;
-  auto& order = eviction_[result.tenant];
-  result.place = order.insert(order.end(), id);
-  result.placed = true;
+  auto& lru = lru_by_tenant_[result.tenant];
+  result.lru_position = lru.insert(lru.end(), id);
+  result.in_lru = true;
 }
 
-void SpoolLogic::unplace(Result& result) {
-  if (std::exchange(result.placed, false)) eviction_[result.tenant].erase(result.place);
+void SpoolLogic::remove_from_lru(Result& result) {
+  if (std::exchange(result.in_lru, false)) lru_by_tenant_[result.tenant].erase(result.lru_position);
 }
 
-void SpoolLogic::advance(Micros now, std::vector<Order>& out) {
-  wheel_.advance(now, [&](ResultId id) {
+void SpoolLogic::expire_leases(Micros now, std::vector<SpoolAction>& out) {
+  lease_timers_.advance(now, [&](ResultId id) {
     const auto at = results_.find(id);
     if (at == results_.end()) return;
-    end(at, at->second.expires >= at->second.give_up ? End::kGivenUp : End::kLeaseEnded, out);
+    end_result(at,
+               at->second.expires_at >= at->second.give_up_at ? EndReason::kGivenUp : EndReason::kLeaseEnded,
+               out);
   });
 }
 
-// ---- What is known ----
+// ---- Queries ----
 
 std::optional<SpoolLogic::View> SpoolLogic::view(ResultId id) const {
   const auto at = results_.find(id);
   if (at == results_.end()) return std::nullopt;
   const Result& r = at->second;
-  return View{r.state,   r.tenant,  &r.handle, &r.index,  r.acknowledged,
-              r.charged, r.expires, r.give_up, r.on_disk, r.storing};
+  return View{r.state,   r.tenant,     &r.handle,    &r.index,  r.acknowledged,
+              r.charged, r.expires_at, r.give_up_at, r.on_disk, r.storing};
 }
 
-std::optional<End> SpoolLogic::remembered(ResultId id) const {
-  const auto at = past_ids_.find(id);
-  if (at == past_ids_.end()) return std::nullopt;
-  return past_.at(at->second).why;
+std::optional<EndReason> SpoolLogic::end_reason_of(ResultId id) const {
+  const auto at = ended_by_id_.find(id);
+  if (at == ended_by_id_.end()) return std::nullopt;
+  return ended_.at(at->second).reason;
 }
 
-std::size_t SpoolLogic::unread() const {
+std::size_t SpoolLogic::unread_count() const {
   return static_cast<std::size_t>(std::count_if(results_.begin(), results_.end(), [](const auto& entry) {
     return entry.second.state >= State::kReady;
   }));
 }
 
-std::size_t SpoolLogic::unread_in_memory() const {
+std::size_t SpoolLogic::unread_in_memory_count() const {
   return static_cast<std::size_t>(std::count_if(results_.begin(), results_.end(), [](const auto& entry) {
     return entry.second.state >= State::kReady && !entry.second.on_disk;
   }));
--- a/src/spool/logic/spool_logic.h
+++ b/src/spool/logic/spool_logic.h
@@ -1,8 +1,8 @@
-// What the spool decides: which result is kept, where, for how long, and who may read it.
+// The spool's decisions: which results are kept, where, for how long, and who may read them.
 //
-// No I/O, no clock, no randomness: events in, actions out, equal events give equal actions. Times are of a
-// monotonic clock. Bytes are charged when they are let in and given back when the last holder has let go of
-// them, so that what waits in a client's queue counts for as long as it is in memory.
+// Deterministic, without I/O, clock or randomness: events come in, actions go out, and the same events give
+// the same actions. Times are of a monotonic clock. Bytes are charged when they are accepted and released
+// when their last holder is gone, so that data queued to a client is counted for as long as it is in memory.
 #pragma once
 
 #include <cstdint>
@@ -24,51 +24,61 @@
 namespace steprail::spool {
 
 using Micros = std::chrono::microseconds;
-using ResultId = std::uint64_t;  // the request's
+using ResultId = std::uint64_t;  // the id of its request
 using ReaderId = std::uint64_t;  // a reader's connection; 0: none
 constexpr ReaderId kNoReader = 0;
 
 struct LogicSettings {
-  Marks memory{64u << 20};
-  Marks disk{0};            // most = 0: no disk tier
-  double read_part{0.125};  // of the memory, for what is read back from disk
-  Bytes disk_above{0};      // results so long go to disk as soon as they are whole; 0: only under pressure
-  Bytes result_most{48'000};
-  Bytes direct_most{48'000};  // the platform's bound on an answer, for those that find the spool full
+  BudgetSettings memory{64u << 20};
+  BudgetSettings disk{0};            // max_bytes = 0: no disk tier
+  double read_back_fraction{0.125};  // fraction of the memory budget for results read back from disk
+  // Results of at least this size are stored on disk as soon as they are complete; 0: only under memory
+  // pressure.
+  Bytes disk_threshold{0};
+  Bytes max_result_bytes{48'000};
+  // The platform's limit on one answer; applies to results that find the spool full.
+  Bytes max_direct_bytes{48'000};
   Micros lease{30'000'000};
-  std::size_t results_most{100'000};
-  std::size_t remembered{4096};  // ended results, so that who comes late is told why
+  std::size_t max_results{100'000};
+  // Ended results that are remembered, so that a late reader is told the reason.
+  std::size_t max_remembered{4096};
   bool operator==(const LogicSettings&) const = default;
 };
 
-// What is to be done, in this order.
-struct Drop {  // let go of the pages in memory; on disk: erase it there, behind a Store under way; erased()
-               // follows
+// ---- Actions for the caller, to be carried out in order ----
+
+// Release the pages in memory. If `on_disk`, also erase the result there, after a store under way;
+// disk_erased() follows.
+struct DropAction {
   ResultId id{};
-  End why{};
+  EndReason reason{};
   bool on_disk{};
 };
-struct Store {  // write a whole result to disk; stored() or not_stored() follows
+
+// Write a complete result to disk; store_succeeded() or store_failed() follows.
+struct StoreAction {
   ResultId id{};
 };
-using Order = std::variant<Drop, Store>;
+using SpoolAction = std::variant<DropAction, StoreAction>;
 
+// Where a result goes: kept in the spool, sent whole in one answer, or nowhere.
 enum class Placement { kSpool, kDirect, kRefused };
 
 enum class Access {
   kGranted,
-  kUnknown,      // no such handle, or another tenant's: the two are not told apart
-  kEnded,        // it was here; `end` says why it is not
+  kUnknown,      // no such handle, or one of another tenant: indistinguishable to the reader
+  kEnded,        // it existed; `end_reason` says why it is gone
   kOtherReader,  // another connection reads it; resume() takes it over
-  kNotYet,       // it is not whole
-  kBeyond        // the row or page lies behind the end
+  kIncomplete,   // not all of its pages are here yet
+  kOutOfRange    // the row or page is beyond the end
 };
 
+// The answer to an access check; the pages are only set for a granted fetch.
 struct Grant {
   Access access{Access::kUnknown};
-  End end{};
+  EndReason end_reason{};
   ResultId id{};
-  std::size_t first_page{}, end_page{};  // of a fetch
+  std::size_t first_page{}, end_page{};  // pages to send for a fetch; the end is exclusive
   std::uint64_t first_row{};
   bool on_disk{};
 };
@@ -77,24 +87,26 @@
  public:
   SpoolLogic(LogicSettings settings, std::vector<double> weights, Micros now);
 
-  // A reload. What is in use stays; a budget that is lower than that lets in nothing until it has drained.
+  // Applies new settings. Bytes in use stay; a budget that is now below its use accepts nothing until enough
+  // is released.
   void reconfigure(const LogicSettings& settings, const std::vector<double>& weights,
-                   std::vector<Order>& out);
+                   std::vector<SpoolAction>& out);
 
-  // ---- A request ----
-  // False where the id is in use already or too many results are held: then the request goes without the
+  // ---- Requests ----
+  // False if the id or handle is in use or too many results are held: the request then runs without the
   // spool.
-  bool submitted(ResultId id, std::size_t tenant, std::string handle, ReaderId reader, Micros give_up);
-  // The first page of an attempt is here; `expected` is the guess at the whole. Charged if it is let in.
-  Placement begin(ResultId id, Bytes expected);
-  // A page more: rows and bytes. False where the spool has no room for what was more than expected.
-  bool page(ResultId id, std::uint64_t rows, Bytes bytes);
-  // The attempt's end without all of its pages: what was charged is due to come back through freed().
+  bool add_request(ResultId id, std::size_t tenant, std::string handle, ReaderId reader, Micros give_up_at);
+  // The first page of an attempt has arrived; `expected` is the estimated size of the whole result. Charges
+  // that size if the result is accepted.
+  Placement begin_attempt(ResultId id, Bytes expected);
+  // Adds one page. False if the result exceeds the expected size and there is no room for the excess.
+  bool add_page(ResultId id, std::uint64_t rows, Bytes bytes);
+  // The attempt has ended without all of its pages. The charge is released later, by memory_freed().
   void attempt_lost(ResultId id);
-  // All pages are here, in order. The charge falls to what it really is; the difference is given back.
-  void complete(ResultId id, Micros now, std::vector<Order>& out);
-  // The request's other ends.
-  void ended(ResultId id, End why, std::vector<Order>& out);
+  // All pages have arrived, in order. Lowers the charge to the real size.
+  void complete(ResultId id, Micros now, std::vector<SpoolAction>& out);
+  // The request has ended in another way.
+  void end_request(ResultId id, EndReason reason, std::vector<SpoolAction>& out);
 
   // ---- Readers ----
   Grant resume(ResultId id, std::size_t tenant, ReaderId reader, Micros now);
@@ -102,39 +114,41 @@
                   Bytes window, Micros now);
   Grant fetch_page(std::string_view handle, std::size_t tenant, ReaderId reader, std::size_t page,
                    Bytes window, Micros now);
-  // Cumulative; rows beyond the end are kBeyond. The last row's ends the result.
+  // Cumulative; rows that were never sent give kOutOfRange. Acknowledging the last row ends the result.
   Grant acknowledge(std::string_view handle, std::size_t tenant, ReaderId reader, std::uint64_t rows,
-                    Micros now, std::vector<Order>& out);
-  Grant release(std::string_view handle, std::size_t tenant, ReaderId reader, std::vector<Order>& out);
-  // True once for each result: its last row has been handed out.
-  bool handed_out(ResultId id, std::uint64_t end_row);
-  void reader_gone(ReaderId reader);
+                    Micros now, std::vector<SpoolAction>& out);
+  Grant release(std::string_view handle, std::size_t tenant, ReaderId reader, std::vector<SpoolAction>& out);
+  // True once per result: when its last row has been sent.
+  bool mark_sent(ResultId id, std::uint64_t end_row);
+  void reader_disconnected(ReaderId reader);
 
   // ---- Memory and disk ----
-  void freed(std::size_t tenant, Bytes bytes, std::vector<Order>& out);
-  // What is charged for a result's pages now: the holder of the pages gives back as much when the last is
-  // gone.
+  void memory_freed(std::size_t tenant, Bytes bytes, std::vector<SpoolAction>& out);
+  // The bytes charged for a result's pages; the owner of the pages reports the same number to memory_freed()
+  // when their last holder is gone.
   Bytes charged(ResultId id) const;
-  bool too_long(Bytes expected) const { return expected > settings_.result_most; }
-  // Room for reading back from disk: a budget of its own, so that a full spool cannot stop its readers.
-  bool borrow(std::size_t tenant, Bytes bytes);
-  void returned(std::size_t tenant, Bytes bytes);
-  void stored(ResultId id, Bytes on_disk);
-  void not_stored(ResultId id);
-  void erased(ResultId id);
-  // The tier failed: nothing goes there from now on, and it is not tried again.
-  void disk_closed();
-  // Found on disk at the start: a whole result that may be resumed.
-  bool recovered(ResultId id, std::size_t tenant, std::string handle, PageIndex index,
-                 std::uint64_t acknowledged, Bytes on_disk, Micros give_up, Micros now);
-  // Everything in memory that may go to disk goes there now: the process ends.
-  void store_all(std::vector<Order>& out);
-
-  // Ends leases. next_lease() is when that has to be done again, if ever.
-  void advance(Micros now, std::vector<Order>& out);
-  std::optional<Micros> next_lease() const { return wheel_.next(); }
-
-  // ---- What is known ----
+  bool too_long(Bytes expected) const { return expected > settings_.max_result_bytes; }
+  // Reserves memory to read back from disk. This budget is separate, so that a full spool cannot block its
+  // readers.
+  bool reserve_read_back(std::size_t tenant, Bytes bytes);
+  void read_back_freed(std::size_t tenant, Bytes bytes);
+  // Results of the actions. `on_disk`: the bytes that the result takes there.
+  void store_succeeded(ResultId id, Bytes on_disk);
+  void store_failed(ResultId id);
+  void disk_erased(ResultId id);
+  // The disk tier has failed: nothing more is stored there, and it is not retried.
+  void disk_failed();
+  // Adds a complete result that was found on disk at the start, for readers to resume.
+  bool add_recovered(ResultId id, std::size_t tenant, std::string handle, PageIndex index,
+                     std::uint64_t acknowledged, Bytes on_disk, Micros give_up_at, Micros now);
+  // At shutdown: stores every complete result that is only in memory and fits on disk.
+  void store_all(std::vector<SpoolAction>& out);
+
+  // Ends results whose lease has expired. next_expiry() is when it has to be called again, if at all.
+  void expire_leases(Micros now, std::vector<SpoolAction>& out);
+  std::optional<Micros> next_expiry() const { return lease_timers_.next(); }
+
+  // ---- Queries ----
   struct View {
     State state{};
     std::size_t tenant{};
@@ -142,20 +156,20 @@
     const PageIndex* index{};
     std::uint64_t acknowledged{};
     Bytes charged{};
-    Micros expires{};  // of its lease, or of the request
-    Micros give_up{};
+    Micros expires_at{};  // end of the lease or of the request's time, whichever is earlier
+    Micros give_up_at{};
     bool on_disk{}, storing{};
   };
   std::optional<View> view(ResultId id) const;
-  std::optional<End> remembered(ResultId id) const;
+  std::optional<EndReason> end_reason_of(ResultId id) const;
   std::size_t size() const { return results_.size(); }
-  std::size_t unread() const;  // whole, and not read to the last row
-  std::size_t unread_in_memory() const;
+  std::size_t unread_count() const;  // complete, and not acknowledged to the last row
+  std::size_t unread_in_memory_count() const;
   const Budget& memory() const { return memory_; }
   const Budget& disk() const { return disk_; }
-  bool disk_open() const { return disk_open_; }
-  Bytes borrowed() const { return read_.used(); }
-  Bytes borrow_most() const;
+  bool disk_usable() const { return disk_usable_; }
+  Bytes read_back_bytes() const { return read_back_.used(); }
+  Bytes max_read_back_bytes() const;
 
  private:
   struct Result {
@@ -163,56 +177,56 @@
     std::size_t tenant{};
     std::string handle;
     ReaderId reader{kNoReader};
-    Micros give_up{0}, expires{0};
+    Micros give_up_at{0}, expires_at{0};
     TimingWheel::Timer timer{TimingWheel::kNone};
     PageIndex index;
-    Bytes charged{0}, filled{0};
-    std::uint64_t handed{0}, acknowledged{0};  // rows
+    Bytes charged{0}, received{0};
+    std::uint64_t sent_rows{0}, acknowledged{0};  // row counts
     bool direct{false}, on_disk{false}, storing{false};
-    std::list<ResultId>::iterator place{};  // in its tenant's order of eviction, while it may be evicted
-    bool placed{false};
+    std::list<ResultId>::iterator lru_position{};  // in its tenant's LRU list, if in_lru
+    bool in_lru{false};
   };
   using Results = std::unordered_map<ResultId, Result>;
 
-  void move(Result& result, State to);
-  void end(Results::iterator at, End why, std::vector<Order>& out);
-  void touch(ResultId id, Result& result, Micros now);
-  void watch(ResultId id, Result& result, Micros until);
-  void place(ResultId id, Result& result);
-  void unplace(Result& result);
-  void relieve(std::vector<Order>& out);
-  bool store(ResultId id, Result& result, std::vector<Order>& out);
-  void remember(ResultId id, const Result& result, End why);
-  Grant open(std::string_view handle, std::size_t tenant, ReaderId reader);
+  void set_state(Result& result, State to);
+  void end_result(Results::iterator at, EndReason reason, std::vector<SpoolAction>& out);
+  void renew_lease(ResultId id, Result& result, Micros now);
+  void set_expiry(ResultId id, Result& result, Micros expires_at);
+  void add_to_lru(ResultId id, Result& result);
+  void remove_from_lru(Result& result);
+  void evict_to_disk(std::vector<SpoolAction>& out);
+  bool schedule_store(ResultId id, Result& result, std::vector<SpoolAction>& out);
+  void remember_end(ResultId id, const Result& result, EndReason reason);
+  Grant check_access(std::string_view handle, std::size_t tenant, ReaderId reader);
   Grant window(Results::iterator at, std::size_t page, std::uint64_t row, Bytes bytes, Micros now);
 
   LogicSettings settings_;
-  Budget memory_, disk_, read_;
-  bool disk_open_;
+  Budget memory_, disk_, read_back_;
+  bool disk_usable_;
   Bytes storing_bytes_{0};
-  TimingWheel wheel_;
+  TimingWheel lease_timers_;
   Results results_;
-  // What a result takes on disk, from the order to store it until it is erased there: also when it has ended.
-  struct OnDisk {
+  // A result's bytes on disk, from the store action until it is erased there, even after the result has
+  // ended.
+  struct DiskEntry {
     std::size_t tenant{};
     Bytes bytes{};
   };
-  std::unordered_map<ResultId, OnDisk> on_disk_;
-  std::unordered_map<std::string, ResultId> handles_;
-  std::vector<std::list<ResultId>>
-      eviction_;  // by tenant; the one that was left alone for longest goes first
-  struct Past {
+  std::unordered_map<ResultId, DiskEntry> disk_entries_;
+  std::unordered_map<std::string, ResultId> results_by_handle_;
+  std::vector<std::list<ResultId>> lru_by_tenant_;  // per tenant, least recently used first
+  struct EndedResult {
     ResultId id{};
     std::size_t tenant{};
     std::string handle;
-    End why{};
+    EndReason reason{};
   };
-  std::deque<std::uint64_t> past_order_;
-  std::unordered_map<std::uint64_t, Past> past_;  // by serial
-  std::unordered_map<ResultId, std::uint64_t> past_ids_;
-  std::unordered_map<std::string, std::uint64_t> past_handles_;
-  std::uint64_t past_serial_{0};
-  std::map<ReaderId, std::vector<ResultId>> readers_;
+  std::deque<std::uint64_t> ended_order_;
+  std::unordered_map<std::uint64_t, EndedResult> ended_;  // by serial number
+  std::unordered_map<ResultId, std::uint64_t> ended_by_id_;
+  std::unordered_map<std::string, std::uint64_t> ended_by_handle_;
+  std::uint64_t last_ended_serial_{0};
+  std::map<ReaderId, std::vector<ResultId>> results_by_reader_;
 };
 
 }  // namespace steprail::spool
--- a/src/spool/logic/state.h
+++ b/src/spool/logic/state.h
@@ -1,8 +1,8 @@
-// The states of a spooled result, and which may follow which.
+// The states of a spooled result and the valid transitions.
 //
 //   running -> filling -> ready -> read -> (ended)
-//                 \-> running    the attempt ended without its last page; the next one begins from nothing
-//   any of them -> (ended), for one of the reasons below
+//                 \-> running    the attempt ended without its last page; the next one starts empty
+//   any state -> (ended), for one of the reasons below
 #pragma once
 
 #include <cstdint>
@@ -10,25 +10,25 @@
 namespace steprail::spool {
 
 enum class State : std::uint8_t {
-  kRunning,  // taken; no page of an attempt is here
-  kFilling,  // pages of one attempt come in
-  kReady,    // whole: readers may come
-  kRead,     // its last row was handed out: served, and kept until it is acknowledged
+  kRunning,  // accepted; no page of an attempt has arrived
+  kFilling,  // pages of one attempt are arriving
+  kReady,    // complete: readers may fetch it
+  kRead,     // its last row has been sent (it counts as served); kept until it is acknowledged
   kEnded
 };
 
-enum class End : std::uint8_t {
-  kAcknowledged,  // up to the last row
-  kReleased,      // by its reader
-  kInterrupted,   // by its client, before it was whole
-  kRefused,       // the module's answer
-  kFailed,        // likewise
-  kGivenUp,       // the request's give-up time has passed
-  kLeaseEnded,    // nobody came for it
-  kDirect,        // answered whole at once: the spool was full
-  kFull,          // too long for a direct answer while the spool was full
-  kTooLong,       // longer than any result may be
-  kLost           // its disk gave it back spoilt, or not at all
+enum class EndReason : std::uint8_t {
+  kAcknowledged,      // by its reader, to the last row
+  kReleased,          // by its reader
+  kInterrupted,       // by its client, before it was complete
+  kRefused,           // the coordinator's final answer was "refused"
+  kFailed,            // the coordinator's final answer was "failed"
+  kGivenUp,           // the request's give-up time has passed
+  kLeaseEnded,        // no reader used it within its lease
+  kAnsweredDirectly,  // the spool was full and the whole result was sent in one answer
+  kSpoolFull,         // the spool was full and the result was too long for one answer
+  kTooLong,           // longer than any result may be
+  kLost               // the disk returned corrupt data, or none
 };
 
 constexpr const char* name(State state) {
@@ -36,14 +36,14 @@
   return names[static_cast<int>(state)];
 }
 
-constexpr const char* name(End end) {
+constexpr const char* name(EndReason end) {
   constexpr const char* names[] = {"acknowledged", "released", "interrupted", "refused",
                                    "failed",       "given-up", "lease-ended", "direct",
                                    "full",         "too-long", "lost"};
   return names[static_cast<int>(end)];
 }
 
-constexpr bool may_follow(State from, State to) {
+constexpr bool is_valid_transition(State from, State to) {
   switch (to) {
     case State::kRunning:
       return from == State::kFilling;
--- a/src/spool/pages.h
+++ b/src/spool/pages.h
@@ -1,5 +1,5 @@
-// The pages of one result in memory, shared by all who still need them: the spool, the disk's thread and the
-// queues to readers. What was charged for them is given back when the last one lets go.
+// The pages of one result in memory, shared by everything that still needs them: the spool, the disk thread
+// and the send queues to readers. The bytes charged for them are released when the last holder is gone.
 #pragma once
 
 #include <functional>
@@ -11,26 +11,28 @@
 
 class Pages {
  public:
-  using Freed = std::function<void(std::size_t tenant, std::uint64_t bytes)>;
-  // `freed` may be emptied by its owner, where nobody is left to be told.
-  Pages(std::shared_ptr<Freed> freed, std::size_t tenant) : freed_(std::move(freed)), tenant_(tenant) {}
+  using FreedCallback = std::function<void(std::size_t tenant, std::uint64_t bytes)>;
+  // The owner may empty `freed` when it no longer wants to be called.
+  Pages(std::shared_ptr<FreedCallback> freed, std::size_t tenant)
+      : on_freed_(std::move(freed)), tenant_(tenant) {}
   ~Pages() {
-    if (charge_ > 0 && *freed_) (*freed_)(tenant_, charge_);
+    if (charge_ > 0 && *on_freed_) (*on_freed_)(tenant_, charge_);
   }
   Pages(const Pages&) = delete;
   Pages& operator=(const Pages&) = delete;
 
-  void charge(std::uint64_t bytes) { charge_ = bytes; }
+  void set_charge(std::uint64_t bytes) { charge_ = bytes; }
   std::uint64_t charged() const { return charge_; }
-  std::vector<std::string> bytes;
+  std::vector<std::string> contents;
 
-  // One page, which keeps all of them.
-  static std::shared_ptr<const std::string> one(const std::shared_ptr<const Pages>& pages, std::size_t page) {
-    return {pages, &pages->bytes[page]};
+  // A pointer to one page that keeps the whole result alive.
+  static std::shared_ptr<const std::string> page(const std::shared_ptr<const Pages>& pages,
+                                                 std::size_t page) {
+    return {pages, &pages->contents[page]};
   }
 
  private:
-  std::shared_ptr<Freed> freed_;
+  std::shared_ptr<FreedCallback> on_freed_;
   std::size_t tenant_;
   std::uint64_t charge_{0};
 };
--- a/src/spool/reader_front.cpp
+++ b/src/spool/reader_front.cpp
@@ -8,51 +8,51 @@
 namespace steprail::spool {
 namespace {
 
-constexpr std::string_view kColumns = "3";  // of every result of the platform
+constexpr std::string_view kColumns = "3";  // number of columns, the same for every result of the platform
 
-// Thrown as Overloaded where sending the same again does no harm, else as Internal.
-constexpr std::int16_t kAgain = 1, kNotAgain = 2;
+// Sent as exception Overloaded if the same call can safely be sent again, otherwise as Internal.
+constexpr std::int16_t kRetryable = 1, kNotRetryable = 2;
 
 struct Refusal {
   const char* code;
   const char* sentence;
-  bool again;  // sending the same call again is harmless, and may help
+  bool retryable;  // the same call can safely be sent again, and may succeed
 };
 
-Refusal refusal(Access access) {
+Refusal refusal_for(Access access) {
   switch (access) {
     case Access::kOtherReader:
       return {"other-reader", "another connection reads this result; resume takes it over", false};
-    case Access::kNotYet:
+    case Access::kIncomplete:
       return {"not-yet", "the result is not complete; resume waits for it", true};
-    case Access::kBeyond:
+    case Access::kOutOfRange:
       return {"beyond", "there is no such row or page", false};
     default:
       return {"unknown", "there is no such result here", false};
   }
 }
 
-Refusal refusal(End end) {
+Refusal refusal_for(EndReason end) {
   switch (end) {
-    case End::kAcknowledged:
+    case EndReason::kAcknowledged:
       return {"acknowledged", "the result was acknowledged to its last row and is gone", false};
-    case End::kReleased:
+    case EndReason::kReleased:
       return {"released", "the result was released and is gone", false};
-    case End::kInterrupted:
+    case EndReason::kInterrupted:
       return {"interrupted", "the request was interrupted by its client", false};
-    case End::kRefused:
+    case EndReason::kRefused:
       return {"refused", "the request was refused; it never ran", true};
-    case End::kFailed:
+    case EndReason::kFailed:
       return {"failed", "the request has failed", false};
-    case End::kGivenUp:
+    case EndReason::kGivenUp:
       return {"too-late", "the request's give-up time has passed and its result is gone", false};
-    case End::kLeaseEnded:
+    case EndReason::kLeaseEnded:
       return {"lease-ended", "nobody came for the result within its lease and it is gone", false};
-    case End::kDirect:
+    case EndReason::kAnsweredDirectly:
       return {"answered", "the result was answered whole at once, as the spool was full", false};
-    case End::kFull:
+    case EndReason::kSpoolFull:
       return {"spool-full", "the result is longer than an answer may be, and the spool has no room", false};
-    case End::kTooLong:
+    case EndReason::kTooLong:
       return {"too-long", "the result is longer than any may be here", false};
     default:
       return {"lost", "the result could not be read back from disk", false};
@@ -61,59 +61,59 @@
 
 }  // namespace
 
-class ReaderFront::Reader : public Session {
+class ReaderFront::ReaderSession : public Session {
  public:
-  Reader(ReaderFront& front, tcp::socket socket, std::uint64_t number)
+  ReaderSession(ReaderFront& front, tcp::socket socket, std::uint64_t number)
       : Session(front, std::move(socket), number), front_(front) {}
 
-  void refuse(std::int32_t call, std::string_view method, const Refusal& why, bool again,
+  void refuse(std::int32_t call, std::string_view method, const Refusal& refusal, bool retryable,
               thrift::Texts more = {}) {
-    more.emplace_back("code", why.code);
-    more.emplace_back("reason", why.sentence);
-    more.emplace_back("again", again ? "1" : "0");
-    push(thrift::thrown(call, method, again ? kAgain : kNotAgain, more));
+    more.emplace_back("code", refusal.code);
+    more.emplace_back("reason", refusal.sentence);
+    more.emplace_back("again", retryable ? "1" : "0");
+    push(thrift::thrown(call, method, retryable ? kRetryable : kNotRetryable, more));
     mark();
   }
 
-  void give(std::int32_t call, std::string_view method, const Window& window, thrift::Texts fields) {
+  void send(std::int32_t call, std::string_view method, const Window& window, thrift::Texts fields) {
     push(thrift::served_head(call, method, window.bytes, fields));
     for (const Slice& slice : window.slices) push(slice.page, slice.from, slice.to);
     push(thrift::served_tail(true, fields));
     mark();
   }
 
-  void give(std::int32_t call, std::string_view method, const Opened& opened) {
-    give(call, method, opened.window,
-         {{"handle", opened.handle},
+  void send(std::int32_t call, std::string_view method, const Delivery& delivery) {
+    send(call, method, delivery.window,
+         {{"handle", delivery.handle},
           {"columns", std::string(kColumns)},
-          {"rows", std::to_string(opened.rows)},
-          {"bytes", std::to_string(opened.bytes)},
-          {"pages", std::to_string(opened.pages)},
-          {"lease", std::to_string(opened.lease.count() / 1000)},
-          {"got", std::to_string(opened.window.rows)},
-          {"last", opened.window.last() ? "1" : "0"}});
+          {"rows", std::to_string(delivery.rows)},
+          {"bytes", std::to_string(delivery.bytes)},
+          {"pages", std::to_string(delivery.pages)},
+          {"lease", std::to_string(delivery.lease.count() / 1000)},
+          {"got", std::to_string(delivery.window.rows)},
+          {"last", delivery.window.last() ? "1" : "0"}});
   }
 
-  void done(std::int32_t call) {
+  void call_done(std::int32_t call) {
     calls_.erase(call);
     answered();
   }
 
  protected:
-  bool busy() const override { return !calls_.empty() || reading_; }
-  // Answers leave in the order of their calls, and a reader holds one window at a time.
-  bool held() const override { return reading_; }
+  bool busy() const override { return !calls_.empty() || fetching_; }
+  // Answers are sent in the order of the calls, and a reader holds one window at a time.
+  bool held() const override { return fetching_; }
 
   void gone() override {
     const auto calls = std::exchange(calls_, {});
     for (const auto& [call, id] : calls) {
-      const auto at = front_.waiting_.find(id);
-      if (at == front_.waiting_.end() || at->second.session != number() || at->second.call != call) continue;
+      const auto at = front_.pending_.find(id);
+      if (at == front_.pending_.end() || at->second.session != number() || at->second.call != call) continue;
       at->second.session = 0;
-      // Nobody can come back for what is not kept.
-      if (!at->second.spooled) front_.coordinator_.client_gone(id), front_.waiting_.erase(at);
+      // Without the spool the result is not kept, so nobody can resume it.
+      if (!at->second.spooled) front_.coordinator_.client_gone(id), front_.pending_.erase(at);
     }
-    front_.spool_.reader_gone(number());
+    front_.spool_.reader_disconnected(number());
   }
 
   bool take(std::string_view frame) override {
@@ -139,7 +139,7 @@
       if (method == "submit") {
         submit(message.call, fields, body);
       } else {
-        read(message.call, method, fields);
+        handle_result_call(message.call, method, fields);
       }
     } else if (call) {
       push(thrift::application_exception(message.call, method, thrift::Fault::kUnknownMethod,
@@ -156,41 +156,41 @@
     const char* fault = calls_.contains(call)
                             ? "call number in use"
                             : read_query(fields, front_.tables_, front_.coordinator_, query);
-    if (fault == nullptr && (front_.spool_.holds(query.id) || front_.waiting_.contains(query.id)))
+    if (fault == nullptr && (front_.spool_.contains(query.id) || front_.pending_.contains(query.id)))
       fault = "txn in use";
     if (fault != nullptr) {
-      push(thrift::thrown(call, "submit", kNotAgain,
+      push(thrift::thrown(call, "submit", kNotRetryable,
                           {{"code", "unusable"}, {"reason", fault}, {"again", "0"}}));
       return mark();
     }
     if (front_.refusing_ || calls_.size() >= front_.limits_.calls)
       return refuse(call, "submit", {"refused", "nothing new is taken here now", true}, true);
-    // Its answer comes back under the request's own number: it may outlive this connection.
-    query.ticket = {query.id, 0, front_.number_};
+    // The answer is routed by the request's id, as the request may outlive this connection.
+    query.ticket = {query.id, 0, front_.front_number_};
     query.group = table_group(body);
-    const bool spooled = front_.spool_.submitted(query.id, query.tenant, number(), query.limit);
+    const bool spooled = front_.spool_.add_request(query.id, query.tenant, number(), query.limit);
     if (spooled) {
       query.sink = &front_.spool_;
-      query.result_most = front_.spool_.settings().logic.result_most;
+      query.result_most = front_.spool_.settings().logic.max_result_bytes;
     }
     const auto cls = static_cast<std::size_t>(query.cls);
     const bool repeatable = front_.coordinator_.settings().classes[cls].effect == Effect::kRepeatable;
-    front_.waiting_[query.id] = {number(), call, false, spooled, repeatable};
+    front_.pending_[query.id] = {number(), call, false, spooled, repeatable};
     calls_[call] = query.id;
     front_.coordinator_.arrived(std::move(query));
   }
 
   void interrupt(std::int32_t call) {
     const auto at = calls_.find(call);
-    if (at == calls_.end()) return;  // its answer has crossed it
+    if (at == calls_.end()) return;  // the answer was sent before the interrupt arrived
     const RequestId id = at->second;
     calls_.erase(at);
-    front_.waiting_.erase(id);
-    front_.spool_.ended(id, End::kInterrupted);
+    front_.pending_.erase(id);
+    front_.spool_.end_request(id, EndReason::kInterrupted);
     front_.coordinator_.client_gone(id);
   }
 
-  void read(std::int32_t call, const std::string& method, const thrift::Fields& fields) {
+  void handle_result_call(std::int32_t call, const std::string& method, const thrift::Fields& fields) {
     const auto tenant = front_.tables_.tenants.index(field(fields, "team"));
     if (front_.tables_.tenants.size() > 0 && tenant < 0)
       return refuse(call, method, {"unusable", "team", false}, false);
@@ -198,14 +198,14 @@
     if (method == "resume") return resume(call, tenant, field(fields, "txn"));
     if (method == "release") {
       const Grant grant = front_.spool_.release(handle, tenant, number());
-      return grant.access == Access::kGranted ? give(call, method, Window{}, {}) : deny(call, method, grant);
+      return grant.access == Access::kGranted ? send(call, method, Window{}, {}) : deny(call, method, grant);
     }
     if (method == "acknowledge") {
       const auto rows = parse_count(field(fields, "rows"));
       if (!rows) return refuse(call, method, {"unusable", "rows", false}, false);
       const Grant grant =
           front_.spool_.acknowledge(handle, tenant, number(), static_cast<std::uint64_t>(*rows));
-      return grant.access == Access::kGranted ? give(call, method, Window{}, {}) : deny(call, method, grant);
+      return grant.access == Access::kGranted ? send(call, method, Window{}, {}) : deny(call, method, grant);
     }
     fetch(call, handle, tenant, fields);
   }
@@ -217,32 +217,33 @@
     const auto window = window_text.empty() ? std::optional<std::int64_t>(0) : parse_count(window_text);
     if (!at || !window || by_row.empty() == by_page.empty())
       return refuse(call, "fetch", {"unusable", "row, page or window", false}, false);
-    // Set before, as the answer may come at once.
-    reading_ = true;
+    // Set first, since the callback may run at once.
+    fetching_ = true;
     const auto self = weak_from_this();
     const Grant grant =
         front_.spool_.fetch(handle, tenant, number(), {!by_page.empty(), static_cast<std::uint64_t>(*at)},
                             static_cast<Bytes>(*window), [self, call](const Window& window) {
                               const auto session = self.lock();
                               if (!session) return;
-                              auto& reader = static_cast<Reader&>(*session);
-                              reader.reading_ = false;
+                              auto& reader = static_cast<ReaderSession&>(*session);
+                              reader.fetching_ = false;
                               if (reader.closed()) return;
-                              reader.fetched(call, window);
+                              reader.send_fetched(call, window);
                               reader.resume_calls();
                             });
     if (grant.access == Access::kGranted) return;
-    reading_ = false;
+    fetching_ = false;
     deny(call, "fetch", grant);
   }
 
-  void fetched(std::int32_t call, const Window& window) {
+  void send_fetched(std::int32_t call, const Window& window) {
     answered();
-    if (window.error == StoreError::kUnknown) return refuse(call, "fetch", refusal(End::kLeaseEnded), false);
+    if (window.error == StoreError::kUnknown)
+      return refuse(call, "fetch", refusal_for(EndReason::kLeaseEnded), false);
     if (window.error == StoreError::kBusy)
       return refuse(call, "fetch", {"busy", "no descriptor is free to read it with; ask again", true}, true);
-    if (window.error != StoreError::kNone) return refuse(call, "fetch", refusal(End::kLost), false);
-    give(call, "fetch", window,
+    if (window.error != StoreError::kNone) return refuse(call, "fetch", refusal_for(EndReason::kLost), false);
+    send(call, "fetch", window,
          {{"row", std::to_string(window.first_row)},
           {"got", std::to_string(window.rows)},
           {"rows", std::to_string(window.total_rows)},
@@ -254,15 +255,15 @@
     const auto id = parse_id(txn);
     if (!id || calls_.contains(call)) return refuse(call, "resume", {"unusable", "txn", false}, false);
     const Grant grant = front_.spool_.resume(*id, tenant, number());
-    if (grant.access == Access::kNotYet) {
-      const auto at = front_.waiting_.find(*id);
-      if (at == front_.waiting_.end()) return refuse(call, "resume", refusal(End::kFailed), false);
-      Waiting& waiting = at->second;
-      // Whoever waited so far is told, and its connection is of no further use to this request.
-      if (auto* other = static_cast<Reader*>(front_.find(waiting.session))) {
-        other->refuse(waiting.call, waiting.resumed ? "resume" : "submit", refusal(Access::kOtherReader),
+    if (grant.access == Access::kIncomplete) {
+      const auto at = front_.pending_.find(*id);
+      if (at == front_.pending_.end()) return refuse(call, "resume", refusal_for(EndReason::kFailed), false);
+      PendingAnswer& waiting = at->second;
+      // The call that waited until now is refused: the request's answer goes to the new connection.
+      if (auto* other = static_cast<ReaderSession*>(front_.find(waiting.session))) {
+        other->refuse(waiting.call, waiting.resumed ? "resume" : "submit", refusal_for(Access::kOtherReader),
                       false);
-        other->done(waiting.call);
+        other->call_done(waiting.call);
       }
       waiting.session = number();
       waiting.call = call;
@@ -271,33 +272,34 @@
       return;
     }
     if (grant.access != Access::kGranted) return deny(call, "resume", grant);
-    reading_ = true;
+    fetching_ = true;
     const auto self = weak_from_this();
-    front_.spool_.reopen(*id, [self, call](const Opened& opened) {
+    front_.spool_.reopen(*id, [self, call](const Delivery& delivery) {
       const auto session = self.lock();
       if (!session) return;
-      auto& reader = static_cast<Reader&>(*session);
-      reader.reading_ = false;
+      auto& reader = static_cast<ReaderSession&>(*session);
+      reader.fetching_ = false;
       if (reader.closed()) return;
       reader.answered();
-      if (opened.how == Opened::How::kHandle) {
-        reader.give(call, "resume", opened);
+      if (delivery.kind == Delivery::Kind::kHandle) {
+        reader.send(call, "resume", delivery);
       } else {
-        reader.refuse(call, "resume", refusal(opened.why), false);
+        reader.refuse(call, "resume", refusal_for(delivery.reason), false);
       }
       reader.resume_calls();
     });
   }
 
   void deny(std::int32_t call, std::string_view method, const Grant& grant) {
-    const Refusal why = grant.access == Access::kEnded ? refusal(grant.end) : refusal(grant.access);
-    refuse(call, method, why, why.again);
+    const Refusal refusal =
+        grant.access == Access::kEnded ? refusal_for(grant.end_reason) : refusal_for(grant.access);
+    refuse(call, method, refusal, refusal.retryable);
   }
 
   friend class ReaderFront;
   ReaderFront& front_;
-  std::unordered_map<std::int32_t, RequestId> calls_;  // that wait for a request's answer
-  bool reading_{false};
+  std::unordered_map<std::int32_t, RequestId> calls_;  // calls that wait for a request's answer
+  bool fetching_{false};
 };
 
 ReaderFront::ReaderFront(Strand strand, Coordinator& coordinator, EventLog& log, const Tables& tables,
@@ -305,35 +307,36 @@
     : FramedServer(strand, coordinator, log, limits),
       tables_(tables),
       spool_(spool),
-      number_(coordinator.attach(*this)) {}
+      front_number_(coordinator.attach(*this)) {}
 
 std::shared_ptr<FramedServer::Session> ReaderFront::open(tcp::socket socket, std::uint64_t number) {
-  return std::make_shared<Reader>(*this, std::move(socket), number);
+  return std::make_shared<ReaderSession>(*this, std::move(socket), number);
 }
 
 void ReaderFront::answer(const Ticket& ticket, Answer answer) {
   const RequestId id = ticket.session;
-  const auto at = waiting_.find(id);
-  if (at == waiting_.end()) return;
-  const Waiting waiting = at->second;
-  waiting_.erase(at);
-  auto* reader = static_cast<Reader*>(find(waiting.session));
+  const auto at = pending_.find(id);
+  if (at == pending_.end()) return;
+  const PendingAnswer waiting = at->second;
+  pending_.erase(at);
+  auto* reader = static_cast<ReaderSession*>(find(waiting.session));
   const char* method = waiting.resumed ? "resume" : "submit";
-  if (reader != nullptr) reader->done(waiting.call);
+  if (reader != nullptr) reader->call_done(waiting.call);
   if (answer.verdict != Verdict::kServed) {
     const bool refused = answer.verdict == Verdict::kRefused;
-    const End why = refused ? End::kRefused : End::kFailed;
-    if (waiting.spooled) spool_.ended(id, why);
+    const EndReason reason = refused ? EndReason::kRefused : EndReason::kFailed;
+    if (waiting.spooled) spool_.end_request(id, reason);
     if (reader == nullptr) return;
-    thrift::Texts more;
+    thrift::Texts fields;
     if (answer.come_back.count() >= 1000)
-      more.emplace_back("later", std::to_string(answer.come_back.count() / 1000));
-    return reader->refuse(waiting.call, method, refusal(why), refused || waiting.repeatable, std::move(more));
+      fields.emplace_back("later", std::to_string(answer.come_back.count() / 1000));
+    return reader->refuse(waiting.call, method, refusal_for(reason), refused || waiting.repeatable,
+                          std::move(fields));
   }
   if (waiting.spooled) {
-    return spool_.delivered(id, [&](const Opened& opened) { tell(waiting, opened); });
+    return spool_.complete(id, [&](const Delivery& delivery) { deliver(waiting, delivery); });
   }
-  // Without the spool: as the platform's service answers, all at once.
+  // Without the spool the whole result is sent at once, as the platform's service does.
   if (reader == nullptr) return;
   Window window;
   std::uint64_t rows = 0;
@@ -344,22 +347,23 @@
     window.slices.push_back({one, 0, one->size()});
   }
   window.rows = window.total_rows = rows;
-  Opened opened;
-  opened.rows = rows;
-  opened.bytes = window.bytes;
-  opened.pages = answer.pages.size();
-  opened.window = std::move(window);
-  reader->give(waiting.call, method, opened);
+  Delivery delivery;
+  delivery.rows = rows;
+  delivery.bytes = window.bytes;
+  delivery.pages = answer.pages.size();
+  delivery.window = std::move(window);
+  reader->send(waiting.call, method, delivery);
 }
 
-void ReaderFront::tell(const Waiting& to, const Opened& opened) {
-  auto* reader = static_cast<Reader*>(find(to.session));
+void ReaderFront::deliver(const PendingAnswer& to, const Delivery& delivery) {
+  auto* reader = static_cast<ReaderSession*>(find(to.session));
   if (reader == nullptr) return;
   const char* method = to.resumed ? "resume" : "submit";
-  if (opened.how == Opened::How::kNothing) {
-    reader->refuse(to.call, method, refusal(opened.why), to.repeatable && opened.why == End::kFull);
+  if (delivery.kind == Delivery::Kind::kNone) {
+    reader->refuse(to.call, method, refusal_for(delivery.reason),
+                   to.repeatable && delivery.reason == EndReason::kSpoolFull);
   } else {
-    reader->give(to.call, method, opened);
+    reader->send(to.call, method, delivery);
   }
 }
 
--- a/src/spool/reader_front.h
+++ b/src/spool/reader_front.h
@@ -1,5 +1,5 @@
-// The second service: results by handle, for readers that take their time or lose their connection. The same
-// codec and framing as the platform's service, on a listener of its own. docs/protocol/spool.md has the
+// The second service: results by handle, for readers that are slow or lose their connection. It uses the
+// codec and framing of the platform's service on a listener of its own. docs/protocol/spool.md describes the
 // calls.
 #pragma once
 
@@ -20,22 +20,22 @@
   void flush() override { write_dirty(); }
 
  private:
-  class Reader;
-  // Who waits for a request's answer. The request goes on without: its result is kept.
-  struct Waiting {
-    std::uint64_t session{};  // 0: nobody
+  class ReaderSession;
+  // The call that waits for a request's answer. The request continues without it: its result is kept.
+  struct PendingAnswer {
+    std::uint64_t session{};  // 0: the reader has disconnected
     std::int32_t call{};
-    bool resumed{};  // by `resume`, else by `submit`
+    bool resumed{};  // by `resume` instead of `submit`
     bool spooled{};
     bool repeatable{};
   };
   std::shared_ptr<Session> open(tcp::socket socket, std::uint64_t number) override;
-  void tell(const Waiting& to, const Opened& opened);
+  void deliver(const PendingAnswer& to, const Delivery& delivery);
 
   const Tables& tables_;
   Spool& spool_;
-  const int number_;  // among the coordinator's fronts
-  std::unordered_map<RequestId, Waiting> waiting_;
+  const int front_number_;  // this front's number at the coordinator
+  std::unordered_map<RequestId, PendingAnswer> pending_;
 };
 
 }  // namespace steprail::spool
--- a/src/spool/settings.h
+++ b/src/spool/settings.h
@@ -1,4 +1,4 @@
-// What the operator's file says of the spool, and its registration there.
+// The spool's settings in the operator's file, and their registration in its schema.
 #pragma once
 
 #include <chrono>
@@ -12,24 +12,25 @@
 namespace steprail::spool {
 
 struct SpoolSettings {
-  bool on{false};
-  std::string listen;  // of the second service
+  bool enabled{false};
+  std::string listen;  // address of the second service
   LogicSettings logic;
-  std::string disk_path;  // empty: no disk tier, and no thread
-  int compression{0};     // zstd's level; 0: none
-  std::size_t segment{16u << 20};
-  std::uint64_t window_most{1u << 20};   // bytes that one fetch gets at most
-  std::uint64_t unread_most{2u << 20};   // bytes queued to one reader, from which on its calls wait
-  std::size_t sessions{256};             // readers' connections at a time
-  std::map<std::string, double> shares;  // by tenant's name; the others divide what is left
+  std::string disk_path;  // empty: no disk tier and no disk thread
+  int compression{0};     // zstd level; 0: off
+  std::size_t segment_bytes{16u << 20};
+  std::uint64_t max_window_bytes{1u << 20};  // upper limit of one fetch
+  // Bytes queued to one reader from which on its next calls have to wait.
+  std::uint64_t max_unread_bytes{2u << 20};
+  std::size_t max_sessions{256};         // concurrent connections of readers
+  std::map<std::string, double> shares;  // by tenant name; the other tenants divide the rest
   bool operator==(const SpoolSettings&) const = default;
 };
 
-// The block `spool`. `into` is filled in as a document is applied to the schema.
-void register_spool(conf::Schema& schema, SpoolSettings& into);
+// Registers the block `spool`. `settings` is filled in when a document is applied to the schema.
+void register_spool(conf::Schema& schema, SpoolSettings& settings);
 
-// Empty where the running spool can take on `fresh` without a restart, else the directive that keeps it from
-// it.
-std::string needs_restart(const SpoolSettings& running, const SpoolSettings& fresh);
+// Empty if the running spool can adopt `updated` without a restart, otherwise the first directive that
+// prevents it.
+std::string needs_restart(const SpoolSettings& running, const SpoolSettings& updated);
 
 }  // namespace steprail::spool
--- a/src/spool/store/lmdb_index.cpp
+++ b/src/spool/store/lmdb_index.cpp
@@ -10,11 +10,11 @@
 
 class LmdbIndex : public Index {
  public:
-  LmdbIndex(const std::string& folder, std::uint64_t most) {
+  LmdbIndex(const std::string& folder, std::uint64_t max_bytes) {
     const std::string path = folder + "/index";
     check(mdb_env_create(&env_), "made");
-    // One file beside the segments; its lock file is of no use to a folder that one process owns.
-    const int opened = mdb_env_set_mapsize(env_, most) == 0
+    // One file beside the segments. No lock file: a single process owns the folder.
+    const int opened = mdb_env_set_mapsize(env_, max_bytes) == 0
                            ? mdb_env_open(env_, path.c_str(), MDB_NOSUBDIR | MDB_NOLOCK, 0600)
                            : EINVAL;
     if (opened != 0) {
@@ -32,10 +32,10 @@
   }
   ~LmdbIndex() override { mdb_env_close(env_); }
 
-  Io commit(const std::vector<Change>& changes) override {
+  IoStatus commit(const std::vector<Change>& changes) override {
     MDB_txn* txn = nullptr;
     int error = mdb_txn_begin(env_, nullptr, 0, &txn);
-    if (error != 0) return say(error);
+    if (error != 0) return to_status(error);
     for (const Change& change : changes) {
       std::uint64_t number = change.key;
       MDB_val key{sizeof number, &number};
@@ -44,11 +44,11 @@
           change.value.empty() ? mdb_del(txn, table_, &key, nullptr) : mdb_put(txn, table_, &key, &value, 0);
       if (error != 0 && error != MDB_NOTFOUND) {
         mdb_txn_abort(txn);
-        return say(error);
+        return to_status(error);
       }
     }
     error = mdb_txn_commit(txn);
-    return error == 0 ? Io::kGood : say(error);
+    return error == 0 ? IoStatus::kOk : to_status(error);
   }
 
   bool scan(const std::function<void(std::uint64_t, std::string_view)>& each) override {
@@ -75,7 +75,9 @@
     if (error != 0)
       throw std::runtime_error(std::string("index cannot be ") + what + ": " + mdb_strerror(error));
   }
-  static Io say(int error) { return error == MDB_MAP_FULL || error == ENOSPC ? Io::kNoSpace : Io::kFailed; }
+  static IoStatus to_status(int error) {
+    return error == MDB_MAP_FULL || error == ENOSPC ? IoStatus::kNoSpace : IoStatus::kFailed;
+  }
 
   MDB_env* env_{};
   MDB_dbi table_{};
@@ -83,8 +85,8 @@
 
 }  // namespace
 
-std::unique_ptr<Index> lmdb_index(const std::string& folder, std::uint64_t most) {
-  return std::make_unique<LmdbIndex>(folder, most);
+std::unique_ptr<Index> open_lmdb_index(const std::string& folder, std::uint64_t max_bytes) {
+  return std::make_unique<LmdbIndex>(folder, max_bytes);
 }
 
 }  // namespace steprail::spool
--- a/src/spool/store/posix_files.cpp
+++ b/src/spool/store/posix_files.cpp
@@ -14,9 +14,11 @@
 namespace steprail::spool {
 namespace {
 
-constexpr std::size_t kPiecesAtOnce = 64;
+constexpr std::size_t kMaxIovecs = 64;
 
-Io failed() { return errno == ENOSPC || errno == EDQUOT ? Io::kNoSpace : Io::kFailed; }
+IoStatus status_from_errno() {
+  return errno == ENOSPC || errno == EDQUOT ? IoStatus::kNoSpace : IoStatus::kFailed;
+}
 
 class Descriptor {
  public:
@@ -36,39 +38,39 @@
  public:
   explicit PosixFile(int number) : file_(number) {}
 
-  Io append(std::span<const std::string_view> pieces) override {
+  IoStatus append(std::span<const std::string_view> pieces) override {
     std::vector<iovec> parts;
     for (const std::string_view piece : pieces) {
       if (!piece.empty()) parts.push_back({const_cast<char*>(piece.data()), piece.size()});
     }
     std::size_t first = 0;
     while (first < parts.size()) {
-      const auto count = static_cast<int>(std::min(parts.size() - first, kPiecesAtOnce));
+      const auto count = static_cast<int>(std::min(parts.size() - first, kMaxIovecs));
       const ssize_t written = ::writev(file_.get(), parts.data() + first, count);
       if (written < 0 && errno == EINTR) continue;
-      if (written <= 0) return failed();
-      auto left = static_cast<std::size_t>(written);
-      while (first < parts.size() && left >= parts[first].iov_len) left -= parts[first++].iov_len;
-      if (first < parts.size() && left > 0) {
-        parts[first].iov_base = static_cast<char*>(parts[first].iov_base) + left;
-        parts[first].iov_len -= left;
+      if (written <= 0) return status_from_errno();
+      auto remaining = static_cast<std::size_t>(written);
+      while (first < parts.size() && remaining >= parts[first].iov_len) remaining -= parts[first++].iov_len;
+      if (first < parts.size() && remaining > 0) {
+        parts[first].iov_base = static_cast<char*>(parts[first].iov_base) + remaining;
+        parts[first].iov_len -= remaining;
       }
     }
-    return Io::kGood;
+    return IoStatus::kOk;
   }
 
-  bool read(std::uint64_t from, std::span<char> into) override {
-    while (!into.empty()) {
-      const ssize_t count = ::pread(file_.get(), into.data(), into.size(), static_cast<off_t>(from));
+  bool read(std::uint64_t offset, std::span<char> buffer) override {
+    while (!buffer.empty()) {
+      const ssize_t count = ::pread(file_.get(), buffer.data(), buffer.size(), static_cast<off_t>(offset));
       if (count < 0 && errno == EINTR) continue;
       if (count <= 0) return false;
-      from += static_cast<std::uint64_t>(count);
-      into = into.subspan(static_cast<std::size_t>(count));
+      offset += static_cast<std::uint64_t>(count);
+      buffer = buffer.subspan(static_cast<std::size_t>(count));
     }
     return true;
   }
 
-  Io sync() override { return ::fdatasync(file_.get()) == 0 ? Io::kGood : failed(); }
+  IoStatus sync() override { return ::fdatasync(file_.get()) == 0 ? IoStatus::kOk : status_from_errno(); }
 
  private:
   Descriptor file_;
@@ -102,9 +104,9 @@
     std::sort(names.begin(), names.end());
     return names;
   }
-  Io sync_names() override {
+  IoStatus sync_directory() override {
     const Descriptor folder(::open(folder_.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-    return folder.get() >= 0 && ::fsync(folder.get()) == 0 ? Io::kGood : failed();
+    return folder.get() >= 0 && ::fsync(folder.get()) == 0 ? IoStatus::kOk : status_from_errno();
   }
 
  private:
@@ -117,6 +119,8 @@
 
 }  // namespace
 
-std::unique_ptr<Files> posix_files(const std::string& folder) { return std::make_unique<PosixFiles>(folder); }
+std::unique_ptr<Files> open_posix_files(const std::string& folder) {
+  return std::make_unique<PosixFiles>(folder);
+}
 
 }  // namespace steprail::spool
--- a/src/spool/store/segment_store.cpp
+++ b/src/spool/store/segment_store.cpp
@@ -17,43 +17,44 @@
 using nlohmann::json;
 
 constexpr std::uint32_t kMagic = 0x31505253;  // "SRP1" in the file
-constexpr std::uint32_t kCompressed = 1;
-constexpr std::size_t kChunk = 64 << 10;
-constexpr std::size_t kReaders = 8;
-constexpr std::uint32_t kChunkMost = 1u << 30;
-constexpr int kVersion = 1;
-constexpr std::string_view kPrefix = "segment-";
+constexpr std::uint32_t kCompressedFlag = 1;
+constexpr std::size_t kTargetChunkBytes = 64 << 10;
+constexpr std::size_t kMaxOpenReaders = 8;
+constexpr std::uint32_t kMaxChunkBytes = 1u << 30;
+constexpr int kIndexVersion = 1;
+constexpr std::string_view kSegmentPrefix = "segment-";
 
-// Little-endian on the disk as in memory: the folder belongs to one machine.
-struct Head {
+// Little-endian on disk as in memory: a folder is only used on one machine.
+struct RecordHeader {
   std::uint32_t magic{kMagic};
-  std::uint32_t length{};  // of the bytes that follow the head
-  std::uint32_t raw{};     // once they are decompressed
+  std::uint32_t length{};      // of the bytes that follow the header
+  std::uint32_t raw_length{};  // length after decompression
   std::uint32_t flags{};
   std::uint64_t id{};
   std::uint32_t first_page{};
   std::uint32_t pages{};
-  std::uint64_t checksum{};  // of all before it and of the bytes that follow
+  std::uint64_t checksum{};  // over the fields above and the bytes that follow
 };
-static_assert(sizeof(Head) == 40);
+static_assert(sizeof(RecordHeader) == 40);
 
-std::uint64_t checksum(const Head& head, std::string_view bytes) {
+std::uint64_t checksum(const RecordHeader& header, std::string_view bytes) {
   XXH3_state_t state;
   XXH3_64bits_reset(&state);
-  XXH3_64bits_update(&state, &head, offsetof(Head, checksum));
+  XXH3_64bits_update(&state, &header, offsetof(RecordHeader, checksum));
   XXH3_64bits_update(&state, bytes.data(), bytes.size());
   return XXH3_64bits_digest(&state);
 }
 
 std::string segment_name(std::uint32_t number) {
   std::string digits = std::to_string(number);
-  return std::string(kPrefix) + std::string(10 - std::min<std::size_t>(10, digits.size()), '0') + digits;
+  return std::string(kSegmentPrefix) + std::string(10 - std::min<std::size_t>(10, digits.size()), '0') +
+         digits;
 }
 
-bool parse_segment(const std::string& name, std::uint32_t& number) {
-  if (name.compare(0, kPrefix.size(), kPrefix) != 0) return false;
+bool parse_segment_number(const std::string& name, std::uint32_t& number) {
+  if (name.compare(0, kSegmentPrefix.size(), kSegmentPrefix) != 0) return false;
   const char* end = name.data() + name.size();
-  const auto [at, error] = std::from_chars(name.data() + kPrefix.size(), end, number);
+  const auto [at, error] = std::from_chars(name.data() + kSegmentPrefix.size(), end, number);
   return error == std::errc{} && at == end;
 }
 
@@ -70,14 +71,9 @@
   for (const StoredPage& page : result.pages) pages.push_back({page.rows, page.bytes});
   for (const StoredResult::Chunk& chunk : result.chunks)
     chunks.push_back({chunk.segment, chunk.offset, chunk.length, chunk.first_page});
-  const json value = {{"v", kVersion},
-                      {"h", result.handle},
-                      {"t", result.tenant},
-                      {"a", result.acknowledged},
-                      {"g", result.give_up_unix_us},
-                      {"l", result.left_us},
-                      {"p", std::move(pages)},
-                      {"c", std::move(chunks)}};
+  const json value = {{"v", kIndexVersion},       {"h", result.handle},          {"t", result.tenant},
+                      {"a", result.acknowledged}, {"g", result.give_up_unix_us}, {"l", result.remaining_us},
+                      {"p", std::move(pages)},    {"c", std::move(chunks)}};
   const auto bytes = json::to_cbor(value);
   return {bytes.begin(), bytes.end()};
 }
@@ -85,12 +81,12 @@
 bool decode(std::string_view bytes, StoredResult& result) {
   try {
     const json value = json::from_cbor(bytes.begin(), bytes.end());
-    if (value.at("v") != kVersion) return false;
+    if (value.at("v") != kIndexVersion) return false;
     result.handle = value.at("h");
     result.tenant = value.at("t");
     result.acknowledged = value.at("a");
     result.give_up_unix_us = value.at("g");
-    result.left_us = value.at("l");
+    result.remaining_us = value.at("l");
     for (const json& page : value.at("p")) result.pages.push_back({page.at(0), page.at(1)});
     for (const json& c : value.at("c")) result.chunks.push_back({c.at(0), c.at(1), c.at(2), c.at(3)});
   } catch (const json::exception&) {
@@ -110,26 +106,26 @@
 
 SegmentStore::Recovery SegmentStore::recover(std::int64_t now_unix_us) {
   Recovery recovery;
-  std::set<std::uint32_t> found;
+  std::set<std::uint32_t> segment_numbers;
   for (const std::string& name : files_.list()) {
     std::uint32_t number = 0;
-    if (parse_segment(name, number)) found.insert(number);
+    if (parse_segment_number(name, number)) segment_numbers.insert(number);
   }
-  // New records never join an old segment: its tail may be torn.
-  current_ = found.empty() ? 0 : *found.rbegin();
-  std::vector<Change> gone;
-  std::vector<StoredResult> kept;
+  // New records are never appended to an old segment, since its end may be torn.
+  current_segment_ = segment_numbers.empty() ? 0 : *segment_numbers.rbegin();
+  std::vector<Change> erasures;
+  std::vector<StoredResult> candidates;
   const bool read = index_.scan([&](std::uint64_t id, std::string_view value) {
     StoredResult result;
     result.id = id;
     if (!decode(value, result)) {
       ++recovery.lost;
-      gone.push_back({id, {}});
+      erasures.push_back({id, {}});
     } else if (result.give_up_unix_us <= now_unix_us) {
       ++recovery.expired;
-      gone.push_back({id, {}});
+      erasures.push_back({id, {}});
     } else {
-      kept.push_back(std::move(result));
+      candidates.push_back(std::move(result));
     }
   });
   if (!read) {
@@ -137,36 +133,36 @@
     recovery.usable = false;
     return recovery;
   }
-  for (StoredResult& result : kept) {
-    bool whole = true;
+  for (StoredResult& result : candidates) {
+    bool intact = true;
     std::string raw;
-    for (std::size_t chunk = 0; whole && chunk < result.chunks.size(); ++chunk) {
+    for (std::size_t chunk = 0; intact && chunk < result.chunks.size(); ++chunk) {
       const StoreError error = read_chunk(result, chunk, raw);
       if (error == StoreError::kBusy) {
-        // Nothing can be said of what is there, so nothing is taken for lost either.
+        // The contents are unknown, so no result may be counted as lost either.
         closed_ = true;
         recovery = {};
         recovery.usable = false;
         return recovery;
       }
-      whole = error == StoreError::kNone;
+      intact = error == StoreError::kNone;
       recovery.bytes_read += result.chunks[chunk].length;
     }
-    if (!whole) {
+    if (!intact) {
       ++recovery.lost;
-      gone.push_back({result.id, {}});
+      erasures.push_back({result.id, {}});
       continue;
     }
-    count(result, 1);
+    adjust_live_results(result, 1);
     for (const StoredResult::Chunk& chunk : result.chunks) {
       Segment& segment = segments_[chunk.segment];
       segment.bytes = std::max(segment.bytes, chunk.offset + chunk.length);
     }
     results_.emplace(result.id, result);
-    recovery.whole.push_back(std::move(result));
+    recovery.intact.push_back(std::move(result));
   }
-  if (!gone.empty() && index_.commit(gone) != Io::kGood) closed_ = true;
-  for (const std::uint32_t number : found) {
+  if (!erasures.empty() && index_.commit(erasures) != IoStatus::kOk) closed_ = true;
+  for (const std::uint32_t number : segment_numbers) {
     if (!segments_.contains(number)) files_.remove(segment_name(number));
   }
   return recovery;
@@ -178,7 +174,7 @@
   return sum;
 }
 
-void SegmentStore::count(const StoredResult& result, int sign) {
+void SegmentStore::adjust_live_results(const StoredResult& result, int sign) {
   std::uint32_t last = 0;
   bool first = true;
   for (const StoredResult::Chunk& chunk : result.chunks) {
@@ -186,31 +182,33 @@
     first = false;
     last = chunk.segment;
     Segment& segment = segments_[chunk.segment];
-    segment.live = sign > 0 ? segment.live + 1 : segment.live - 1;
+    segment.live_results = sign > 0 ? segment.live_results + 1 : segment.live_results - 1;
   }
 }
 
-Io SegmentStore::roll() {
-  out_ = files_.create(segment_name(current_ + 1));
-  if (!out_) return Io::kNoSpace;  // or descriptor: nothing is lost by it, and a later try may have one
-  ++current_;
-  segments_[current_] = {};
-  return files_.sync_names() == Io::kGood ? Io::kGood : Io::kFailed;
+IoStatus SegmentStore::start_segment() {
+  writer_ = files_.create(segment_name(current_segment_ + 1));
+  if (!writer_)
+    // No space, or no free file descriptor: nothing is lost, and a later attempt may succeed.
+    return IoStatus::kNoSpace;
+  ++current_segment_;
+  segments_[current_segment_] = {};
+  return files_.sync_directory() == IoStatus::kOk ? IoStatus::kOk : IoStatus::kFailed;
 }
 
-Io SegmentStore::append(Item& item) {
+IoStatus SegmentStore::append(Item& item) {
   StoredResult& meta = item.meta;
   meta.chunks.clear();
   std::size_t page = 0;
   while (page < item.pages.size()) {
-    Head head;
-    head.id = meta.id;
-    head.first_page = static_cast<std::uint32_t>(page);
+    RecordHeader header;
+    header.id = meta.id;
+    header.first_page = static_cast<std::uint32_t>(page);
     std::size_t raw = 0, end = page;
-    while (end < item.pages.size() && (end == page || raw + item.pages[end].size() <= kChunk))
+    while (end < item.pages.size() && (end == page || raw + item.pages[end].size() <= kTargetChunkBytes))
       raw += item.pages[end++].size();
-    head.pages = static_cast<std::uint32_t>(end - page);
-    head.raw = static_cast<std::uint32_t>(raw);
+    header.pages = static_cast<std::uint32_t>(end - page);
+    header.raw_length = static_cast<std::uint32_t>(raw);
     std::string bytes;
     bytes.reserve(raw);
     for (std::size_t i = page; i < end; ++i) bytes.append(item.pages[i]);
@@ -221,30 +219,31 @@
       if (!ZSTD_isError(size) && size < raw) {
         packed.resize(size);
         bytes = std::move(packed);
-        head.flags = kCompressed;
+        header.flags = kCompressedFlag;
       }
     }
-    head.length = static_cast<std::uint32_t>(bytes.size());
-    head.checksum = checksum(head, bytes);
-    if (!out_ || segments_[current_].bytes >= settings_.segment) {
-      // What stands in the old one must be on the disk before the index names it.
-      if (out_) {
-        const Io synced = out_->sync();
-        if (synced != Io::kGood) return Io::kFailed;
+    header.length = static_cast<std::uint32_t>(bytes.size());
+    header.checksum = checksum(header, bytes);
+    if (!writer_ || segments_[current_segment_].bytes >= settings_.segment_bytes) {
+      // The records in the previous segment must be durable before the index refers to them.
+      if (writer_) {
+        const IoStatus synced = writer_->sync();
+        if (synced != IoStatus::kOk) return IoStatus::kFailed;
       }
-      const Io rolled = roll();
-      if (rolled != Io::kGood) return rolled;
+      const IoStatus rolled = start_segment();
+      if (rolled != IoStatus::kOk) return rolled;
     }
-    Segment& segment = segments_[current_];
-    const std::string_view pieces[] = {{reinterpret_cast<const char*>(&head), sizeof head}, bytes};
-    const std::uint64_t length = sizeof head + bytes.size();
-    meta.chunks.push_back({current_, segment.bytes, static_cast<std::uint32_t>(length), head.first_page});
-    const Io wrote = out_->append(pieces);
-    if (wrote != Io::kGood) return wrote;
+    Segment& segment = segments_[current_segment_];
+    const std::string_view pieces[] = {{reinterpret_cast<const char*>(&header), sizeof header}, bytes};
+    const std::uint64_t length = sizeof header + bytes.size();
+    meta.chunks.push_back(
+        {current_segment_, segment.bytes, static_cast<std::uint32_t>(length), header.first_page});
+    const IoStatus wrote = writer_->append(pieces);
+    if (wrote != IoStatus::kOk) return wrote;
     segment.bytes += length;
     page = end;
   }
-  return Io::kGood;
+  return IoStatus::kOk;
 }
 
 void SegmentStore::put(std::vector<Item>& items) {
@@ -255,17 +254,17 @@
     for (const std::string_view page : item.pages) size += page.size();
     if (failed) {
       item.error = StoreError::kClosed;
-    } else if (full || bytes() + size > settings_.most || results_.contains(item.meta.id)) {
-      item.error = StoreError::kNoRoom;
+    } else if (full || bytes() + size > settings_.max_bytes || results_.contains(item.meta.id)) {
+      item.error = StoreError::kNoSpace;
     } else {
-      const Io wrote = append(item);
-      if (wrote == Io::kNoSpace) {
-        // The segment may end in half a record: nothing more goes behind it.
+      const IoStatus wrote = append(item);
+      if (wrote == IoStatus::kNoSpace) {
+        // The segment may end in a partial record, so nothing more is appended to it.
         full = true;
-        item.error = StoreError::kNoRoom;
-        if (out_ && out_->sync() != Io::kGood) failed = true;
-        out_.reset();
-      } else if (wrote == Io::kFailed) {
+        item.error = StoreError::kNoSpace;
+        if (writer_ && writer_->sync() != IoStatus::kOk) failed = true;
+        writer_.reset();
+      } else if (wrote == IoStatus::kFailed) {
         failed = true;
       } else {
         changes.push_back({item.meta.id, encode(item.meta)});
@@ -273,28 +272,28 @@
       }
     }
   }
-  if (!failed && !changes.empty() && out_ && out_->sync() != Io::kGood) failed = true;
+  if (!failed && !changes.empty() && writer_ && writer_->sync() != IoStatus::kOk) failed = true;
   if (!failed && !changes.empty()) {
-    const Io committed = index_.commit(changes);
-    if (committed == Io::kNoSpace) {
-      for (Item& item : items) item.error = StoreError::kNoRoom;
-    } else if (committed == Io::kFailed) {
+    const IoStatus committed = index_.commit(changes);
+    if (committed == IoStatus::kNoSpace) {
+      for (Item& item : items) item.error = StoreError::kNoSpace;
+    } else if (committed == IoStatus::kFailed) {
       failed = true;
     }
   }
   if (failed) {
-    // Nothing of this batch is known to be there, and whatever comes later cannot rely on this disk.
+    // Nothing of this batch can be relied on, nor can anything written to this disk later.
     closed_ = true;
-    out_.reset();
+    writer_.reset();
     for (Item& item : items) item.error = StoreError::kClosed;
     return;
   }
   for (const Item& item : items) {
     if (item.error != StoreError::kNone) continue;
-    count(item.meta, 1);
+    adjust_live_results(item.meta, 1);
     results_.emplace(item.meta.id, item.meta);
   }
-  remove_dead();
+  remove_dead_segments();
 }
 
 bool SegmentStore::erase(const std::vector<std::uint64_t>& ids) {
@@ -302,32 +301,33 @@
   for (const std::uint64_t id : ids) {
     const auto at = results_.find(id);
     if (at == results_.end()) continue;
-    count(at->second, -1);
+    adjust_live_results(at->second, -1);
     results_.erase(at);
     changes.push_back({id, {}});
   }
   if (changes.empty()) return !closed_;
-  // Where the index has failed its entries stay; the next start finds them too old, or their segments gone.
-  if (!closed_ && index_.commit(changes) != Io::kGood) closed_ = true;
-  remove_dead();
+  // If the index has failed, its entries remain; the next start drops them as expired, or as lost with their
+  // segments.
+  if (!closed_ && index_.commit(changes) != IoStatus::kOk) closed_ = true;
+  remove_dead_segments();
   return !closed_;
 }
 
-void SegmentStore::remove_dead() {
+void SegmentStore::remove_dead_segments() {
   for (auto at = segments_.begin(); at != segments_.end();) {
-    const bool current = out_ != nullptr && at->first == current_;
-    if (at->second.live > 0 || (current && at->second.bytes < settings_.segment)) {
+    const bool current = writer_ != nullptr && at->first == current_segment_;
+    if (at->second.live_results > 0 || (current && at->second.bytes < settings_.segment_bytes)) {
       ++at;
       continue;
     }
-    if (current) out_.reset();
+    if (current) writer_.reset();
     std::erase_if(readers_, [&](const auto& held) { return held.first == at->first; });
     files_.remove(segment_name(at->first));
     at = segments_.erase(at);
   }
 }
 
-File* SegmentStore::reader(std::uint32_t segment, StoreError& error) {
+File* SegmentStore::reader_for(std::uint32_t segment, StoreError& error) {
   const auto held = std::find_if(readers_.begin(), readers_.end(),
                                  [&](const auto& entry) { return entry.first == segment; });
   if (held != readers_.end()) {
@@ -337,10 +337,10 @@
   bool missing = false;
   auto file = files_.open(segment_name(segment), missing);
   if (!file) {
-    error = missing ? StoreError::kSpoilt : StoreError::kBusy;
+    error = missing ? StoreError::kCorrupt : StoreError::kBusy;
     return nullptr;
   }
-  if (readers_.size() >= kReaders) readers_.pop_back();
+  if (readers_.size() >= kMaxOpenReaders) readers_.pop_back();
   readers_.insert(readers_.begin(), {segment, std::move(file)});
   return readers_.front().second.get();
 }
@@ -349,28 +349,28 @@
   const StoredResult::Chunk& chunk = result.chunks[number];
   const std::size_t end =
       number + 1 < result.chunks.size() ? result.chunks[number + 1].first_page : result.pages.size();
-  if (chunk.length < sizeof(Head) || chunk.length > kChunkMost) return StoreError::kSpoilt;
+  if (chunk.length < sizeof(RecordHeader) || chunk.length > kMaxChunkBytes) return StoreError::kCorrupt;
   StoreError error = StoreError::kNone;
-  File* file = reader(chunk.segment, error);
+  File* file = reader_for(chunk.segment, error);
   if (file == nullptr) return error;
   std::string record(chunk.length, '\0');
-  if (!file->read(chunk.offset, record)) return StoreError::kSpoilt;
-  Head head;
-  std::memcpy(&head, record.data(), sizeof head);
-  const std::string_view bytes = std::string_view(record).substr(sizeof head);
+  if (!file->read(chunk.offset, record)) return StoreError::kCorrupt;
+  RecordHeader header;
+  std::memcpy(&header, record.data(), sizeof header);
+  const std::string_view bytes = std::string_view(record).substr(sizeof header);
   std::uint64_t expected = 0;
   for (std::size_t page = chunk.first_page; page < end; ++page) expected += result.pages[page].bytes;
-  if (head.magic != kMagic || head.length != bytes.size() || head.id != result.id ||
-      head.first_page != chunk.first_page || head.pages != end - chunk.first_page || head.raw != expected ||
-      head.checksum != checksum(head, bytes))
-    return StoreError::kSpoilt;
-  if ((head.flags & kCompressed) == 0) {
+  if (header.magic != kMagic || header.length != bytes.size() || header.id != result.id ||
+      header.first_page != chunk.first_page || header.pages != end - chunk.first_page ||
+      header.raw_length != expected || header.checksum != checksum(header, bytes))
+    return StoreError::kCorrupt;
+  if ((header.flags & kCompressedFlag) == 0) {
     raw.assign(bytes);
-    return raw.size() == expected ? StoreError::kNone : StoreError::kSpoilt;
+    return raw.size() == expected ? StoreError::kNone : StoreError::kCorrupt;
   }
-  raw.resize(head.raw);
+  raw.resize(header.raw_length);
   const std::size_t size = ZSTD_decompress(raw.data(), raw.size(), bytes.data(), bytes.size());
-  return !ZSTD_isError(size) && size == raw.size() ? StoreError::kNone : StoreError::kSpoilt;
+  return !ZSTD_isError(size) && size == raw.size() ? StoreError::kNone : StoreError::kCorrupt;
 }
 
 StoreError SegmentStore::read(std::uint64_t id, std::size_t first, std::size_t last,
--- a/standins/edge_sim.cpp
+++ b/standins/edge_sim.cpp
@@ -31,7 +31,7 @@
     settings_.window = 8 << 10;
     settings_.page_least = 512;
     settings_.page_most = 4 << 10;
-    settings_.memory.most = 64 << 10;
+    settings_.memory.max_bytes = 64 << 10;
     settings_.gate.rate = 50;
     settings_.gate.burst = 4;
     settings_.ledger.durable = options.durable;
@@ -446,7 +446,7 @@
   void check_bounds() {
     if (!edge_) return;
     // One page for each tenant may go beyond, or nothing would move; a row may be longer than a page.
-    const std::uint64_t most = settings_.memory.most + 2 * (settings_.page_most + 200);
+    const std::uint64_t most = settings_.memory.max_bytes + 2 * (settings_.page_most + 200);
     if (edge_->memory().used() > most)
       fault("memory: " + std::to_string(edge_->memory().used()) + " bytes on their way");
     if (edge_->sessions() > static_cast<std::size_t>(o_.devices) * settings_.sessions_device)
--- a/tests/conf/conf_test.cpp
+++ b/tests/conf/conf_test.cpp
@@ -39,12 +39,12 @@
       "  share \"wal\\\"lonie\" 43%\n"
       "}\n");
   CHECK(read.text.empty());
-  CHECK(read.settings.on);
-  CHECK(read.settings.logic.memory.most == 8u << 20);
-  CHECK(read.settings.logic.memory.high == Approx(0.8));
-  CHECK(read.settings.logic.memory.low == Approx(0.25));
+  CHECK(read.settings.enabled);
+  CHECK(read.settings.logic.memory.max_bytes == 8u << 20);
+  CHECK(read.settings.logic.memory.high_watermark == Approx(0.8));
+  CHECK(read.settings.logic.memory.low_watermark == Approx(0.25));
   CHECK(read.settings.disk_path == "/var/lib/a b");
-  CHECK(read.settings.logic.disk.most == 2ull << 30);
+  CHECK(read.settings.logic.disk.max_bytes == 2ull << 30);
   CHECK(read.settings.logic.lease == std::chrono::milliseconds(1500));
   CHECK(read.settings.shares.at("wal\"lonie") == Approx(0.43));
 }
@@ -132,10 +132,10 @@
   const auto bytes = [&](const char* text) {
     return static_cast<std::uint64_t>(std::get<std::int64_t>(*read_value({"", Kind::kBytes}, text, fault)));
   };
-  CHECK(settings.logic.memory.most == bytes("64m"));
-  CHECK(settings.segment == bytes("16m"));
-  CHECK(settings.window_most == bytes("1m"));
-  CHECK(settings.unread_most == bytes("2m"));
-  CHECK(settings.logic.result_most == 48000);
+  CHECK(settings.logic.memory.max_bytes == bytes("64m"));
+  CHECK(settings.segment_bytes == bytes("16m"));
+  CHECK(settings.max_window_bytes == bytes("1m"));
+  CHECK(settings.max_unread_bytes == bytes("2m"));
+  CHECK(settings.logic.max_result_bytes == 48000);
   CHECK(settings.logic.lease == std::chrono::seconds(30));
 }
--- a/tests/edge/logic_test.cpp
+++ b/tests/edge/logic_test.cpp
@@ -431,7 +431,7 @@
   EdgeSettings settings;
   settings.once = {{"report", false}};
   settings.gate.rate = settings.gate.burst = 1e6;
-  settings.memory.most = 8u << 20;
+  settings.memory.max_bytes = 8u << 20;
   settings.window = 64 << 10;
   settings.page_most = 32 << 10;
   EdgeLogic logic(settings, Sealer({}), {1}, 7, Micros{0}, 0);
@@ -482,8 +482,8 @@
     logic.heard(conn, ask, now, acts);
     carry_out();
   }
-  CHECK(peak <= settings.memory.most + settings.page_most);
-  CHECK(logic.memory().used() > settings.memory.most / 2);
+  CHECK(peak <= settings.memory.max_bytes + settings.page_most);
+  CHECK(logic.memory().used() > settings.memory.max_bytes / 2);
   // Some of them take what they have, a little at a time: the budget goes round, and reaches each of them.
   for (int round = 0; round < 400; ++round) {
     now += Micros{50'000};
@@ -496,7 +496,7 @@
       carry_out();
     }
   }
-  CHECK(peak <= settings.memory.most + settings.page_most);
+  CHECK(peak <= settings.memory.max_bytes + settings.page_most);
   std::uint64_t least = kRows;
   for (ConnId conn = 1; conn <= kDevices; ++conn) least = std::min(least, got[conn]);
   CHECK(least > 0);
--- a/tests/edge/story_test.cpp
+++ b/tests/edge/story_test.cpp
@@ -322,7 +322,7 @@
 TEST_CASE("edge: a load that cannot be recorded is refused and not run, a lookup runs all the same") {
   auto disk = std::make_shared<FaultyDisk>();
   Site site(recorded_on(disk));
-  disk->fail_at(disk->operations() + 1, FaultyDisk::Fault::kNoSpace);
+  disk->fail_at(disk->operation_count() + 1, FaultyDisk::Fault::kNoSpace);
   Tablet tablet(site, "tablet");
   tablet.client.connect();
   const auto load = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
@@ -334,7 +334,7 @@
   const auto next = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
   REQUIRE(site.until([&] { return tablet.device.idle(); }));
   CHECK(tablet.at(next).outcome.how == How::kServed);
-  disk->fail_at(disk->operations() + 1, FaultyDisk::Fault::kEio);
+  disk->fail_at(disk->operation_count() + 1, FaultyDisk::Fault::kEio);
   for (int i = 0; i < 2; ++i) {
     const auto other = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
     REQUIRE(site.until([&] { return tablet.device.idle(); }));
@@ -349,7 +349,7 @@
 TEST_CASE("edge: an outcome that cannot be recorded is unknown, and the load is not run again") {
   auto disk = std::make_shared<FaultyDisk>();
   Site site(recorded_on(disk));
-  disk->fail_at(disk->operations() + 2, FaultyDisk::Fault::kNoSpace);
+  disk->fail_at(disk->operation_count() + 2, FaultyDisk::Fault::kNoSpace);
   Tablet tablet(site, "tablet");
   tablet.client.connect();
   const auto key = tablet.client.ask("load", "insert into lessons_3.hours", 9000);
