--- a/tests/spool/story_test.cpp
+++ b/tests/spool/story_test.cpp
@@ -1,5 +1,5 @@
-// Stories of the spool over loopback: a coordinator, stand-in engines, and readers that stall, drop and
-// return.
+// Integration tests of the spool over loopback: a coordinator, fake engines, and readers that stall,
+// disconnect and resume.
 #include <signal.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -25,7 +25,7 @@
   return "spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n  window-most 64k\n" + more + "}\n";
 }
 
-Site::Options long_reports(std::size_t engines = 1, const std::string& more = {}) {
+Site::Options long_report_options(std::size_t engines = 1, const std::string& more = {}) {
   Site::Options options;
   options.engines = engines;
   options.script->rows = 3000;  // 300 KB in 50 pages
@@ -42,7 +42,7 @@
   return *reply;
 }
 
-Reply ask(Site& site, Client& reader, const std::string& method, const Fields& fields) {
+Reply call_and_wait(Site& site, Client& reader, const std::string& method, const Fields& fields) {
   reader.call(method, 7, fields);
   const auto reply = site.reply(reader);
   REQUIRE(reply);
@@ -54,12 +54,12 @@
   return {{"handle", handle}, {"team", team}, {"row", std::to_string(row)}, {"window", window}};
 }
 
-// Reads on to the last row.
-std::string rest(Site& site, Client& reader, const std::string& handle, std::uint64_t row,
-                 const std::string& window = "20000", const std::string& team = "acme") {
+// Fetches from `row` to the last row.
+std::string read_rest(Site& site, Client& reader, const std::string& handle, std::uint64_t row,
+                      const std::string& window = "20000", const std::string& team = "acme") {
   std::string all;
   for (;;) {
-    const Reply part = ask(site, reader, "fetch", from_row(handle, row, window, team));
+    const Reply part = call_and_wait(site, reader, "fetch", from_row(handle, row, window, team));
     REQUIRE(part.field == 0);
     all += part.body;
     row += std::stoull(part.at("got"));
@@ -67,18 +67,18 @@
   }
 }
 
-double metric(Site& site, const std::string& name) {
+double metric_value(Site& site, const std::string& name) {
   const std::string text = site.server->metrics()->text();
   const std::size_t at = text.find('\n' + name + ' ');
   return at == std::string::npos ? -1 : std::stod(text.substr(at + name.size() + 2));
 }
 
-std::uint64_t held(Site& site) { return site.server->spool()->bytes_held(); }
+std::uint64_t held_bytes(Site& site) { return site.server->spool()->bytes_held(); }
 
 }  // namespace
 
-TEST_CASE("spool: a long report is whole, the engine free, before the reader has read a row") {
-  Site site(long_reports());
+TEST_CASE("spool: a long report is complete and its engine free before the reader reads a row") {
+  Site site(long_report_options());
   const auto reader = site.reader();
   reader->call("submit", 1, request(kId), "select * from lessons_3.hours");
   REQUIRE(site.until([&] { return site.runs(kId) == 1 && site.open_sessions() == 0; }));
@@ -90,14 +90,14 @@
   CHECK(opened->at("handle").size() == 32);
   const std::uint64_t got = std::stoull(opened->at("got"));
   CHECK(got == 60);
-  CHECK(opened->body + rest(site, *reader, opened->at("handle"), got) == whole(*site.script, kId, 1));
+  CHECK(opened->body + read_rest(site, *reader, opened->at("handle"), got) == whole(*site.script, kId, 1));
   CHECK(site.runs(kId) == 1);
   CHECK(site.server->broken_invariants() == 0);
 }
 
-// Guards against rows lost or doubled where windows and pages cross.
-TEST_CASE("spool: any row with any window gives the rows from there on, whole and at least one") {
-  Site site(long_reports());
+// Guards against rows that are lost or duplicated where the ends of windows and pages differ.
+TEST_CASE("spool: a fetch from any row with any window returns at least one row, and only whole rows") {
+  Site site(long_report_options());
   const auto reader = site.reader();
   const Reply opened = submit(site, *reader, kId);
   const std::string all = whole(*site.script, kId, 1);
@@ -107,7 +107,7 @@
   }
   for (const std::uint64_t row : {0, 1, 59, 60, 61, 119, 1500, 2998, 2999}) {
     for (const char* window : {"1", "99", "100", "101", "5999", "6000", "6001", "20000", "9999999"}) {
-      const Reply part = ask(site, *reader, "fetch", from_row(opened.at("handle"), row, window));
+      const Reply part = call_and_wait(site, *reader, "fetch", from_row(opened.at("handle"), row, window));
       REQUIRE(part.field == 0);
       const std::uint64_t rows = std::stoull(part.at("got"));
       CHECK(rows >= 1);
@@ -118,15 +118,16 @@
     }
   }
   const Reply page =
-      ask(site, *reader, "fetch",
-          {{"handle", opened.at("handle")}, {"team", "acme"}, {"page", "49"}, {"window", "9"}});
+      call_and_wait(site, *reader, "fetch",
+                    {{"handle", opened.at("handle")}, {"team", "acme"}, {"page", "49"}, {"window", "9"}});
   CHECK(page.at("row") == "2940");
 }
 
-// Guards against rows of two attempts in one result, and a load that runs twice for its lost pages.
-TEST_CASE("spool: an engine dies with half of the pages spooled") {
+// Guards against mixing the rows of two attempts in one result, and against running a load twice because its
+// pages were lost.
+TEST_CASE("spool: an engine dies when half of the pages are spooled") {
   for (const std::string verb : {"report", "load"}) {
-    Site::Options options = long_reports(2);
+    Site::Options options = long_report_options(2);
     options.script->fault = [](const Moment& m) {
       return m.at == At::kPage && m.run == 1 && m.page == 25 ? Fault::kDie : Fault::kNone;
     };
@@ -143,57 +144,57 @@
       REQUIRE(opened.field == 0);
       CHECK(site.runs(kId) == 2);
       const std::uint64_t got = std::stoull(opened.at("got"));
-      CHECK(opened.body + rest(site, *reader, opened.at("handle"), got) == whole(*site.script, kId, 2));
-      ask(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "acme"}});
+      CHECK(opened.body + read_rest(site, *reader, opened.at("handle"), got) == whole(*site.script, kId, 2));
+      call_and_wait(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "acme"}});
     }
-    CHECK(held(site) == 0);
+    CHECK(held_bytes(site) == 0);
     CHECK(site.server->broken_invariants() == 0);
   }
 }
 
-TEST_CASE("spool: a reader that drops after page 3 goes on from there, and nothing runs again") {
-  Site site(long_reports());
+TEST_CASE("spool: a reader that disconnects after page 3 resumes there, and nothing runs again") {
+  Site site(long_report_options());
   auto reader = site.reader();
   const Reply opened = submit(site, *reader, kId);
   const std::string handle = opened.at("handle");
   std::string all = opened.body;
-  const Reply part = ask(site, *reader, "fetch", from_row(handle, 60, "12000"));
+  const Reply part = call_and_wait(site, *reader, "fetch", from_row(handle, 60, "12000"));
   all += part.body;
   CHECK(part.at("got") == "120");
   reader->reset();
   reader = site.reader();
-  const Reply again = ask(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}});
+  const Reply again = call_and_wait(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}});
   REQUIRE(again.field == 0);
   CHECK(again.at("handle") == handle);
   CHECK(again.body == opened.body);
-  all += rest(site, *reader, handle, 180);
+  all += read_rest(site, *reader, handle, 180);
   CHECK(all == whole(*site.script, kId, 1));
   CHECK(site.runs(kId) == 1);
-  CHECK(metric(site, "steprail_spool_served_total") == 1);
-  // Up to the last row and no farther; then it is gone, and the reason is told.
+  CHECK(metric_value(site, "steprail_spool_served_total") == 1);
+  // Acknowledging the last row ends the result; later calls are told the reason.
   Fields ack{{"handle", handle}, {"team", "acme"}, {"rows", "3001"}};
-  CHECK(ask(site, *reader, "acknowledge", ack).at("code") == "beyond");
+  CHECK(call_and_wait(site, *reader, "acknowledge", ack).at("code") == "beyond");
   ack["rows"] = "2999";
-  CHECK(ask(site, *reader, "acknowledge", ack).field == 0);
-  CHECK(held(site) == 300'000);
+  CHECK(call_and_wait(site, *reader, "acknowledge", ack).field == 0);
+  CHECK(held_bytes(site) == 300'000);
   ack["rows"] = "3000";
-  CHECK(ask(site, *reader, "acknowledge", ack).field == 0);
-  CHECK(held(site) == 0);
-  const Reply gone = ask(site, *reader, "fetch", from_row(handle, 0));
+  CHECK(call_and_wait(site, *reader, "acknowledge", ack).field == 0);
+  CHECK(held_bytes(site) == 0);
+  const Reply gone = call_and_wait(site, *reader, "fetch", from_row(handle, 0));
   CHECK(gone.field == 2);
   CHECK(gone.at("code") == "acknowledged");
-  CHECK(metric(site, "steprail_spool_served_total") == 1);
+  CHECK(metric_value(site, "steprail_spool_served_total") == 1);
 }
 
-TEST_CASE("spool: a reader that drops while its query runs finds the answer, by another connection") {
-  Site::Options options = long_reports();
+TEST_CASE("spool: a reader that disconnects while its query runs gets the answer on another connection") {
+  Site::Options options = long_report_options();
   options.script->runs_for = milliseconds(150);
   Site site(options);
   auto reader = site.reader();
   reader->call("submit", 1, request(kId), "select * from lessons_3.hours");
   REQUIRE(site.until([&] { return site.runs(kId) == 1; }));
   reader->reset();
-  // One that waits is told when another takes its place.
+  // A call that waits is refused when another connection takes its place.
   const auto second = site.reader();
   second->call("resume", 3, {{"txn", kId}, {"team", "acme"}});
   site.run_for(milliseconds(20));
@@ -205,85 +206,89 @@
   const auto opened = site.reply(*third);
   REQUIRE(opened->field == 0);
   CHECK(opened->call == 4);
-  CHECK(opened->body + rest(site, *third, opened->at("handle"), 60) == whole(*site.script, kId, 1));
+  CHECK(opened->body + read_rest(site, *third, opened->at("handle"), 60) == whole(*site.script, kId, 1));
   CHECK(site.runs(kId) == 1);
 }
 
-TEST_CASE("spool: a reader that comes too late, or never, leaves nothing behind") {
-  Site site(long_reports(1, "  lease 1s\n"));
+TEST_CASE("spool: results of readers that come too late or never are dropped") {
+  Site site(long_report_options(1, "  lease 1s\n"));
   auto reader = site.reader();
   REQUIRE(submit(site, *reader, kId).field == 0);
   const std::string other = "00000000000000b2";
-  const auto patient = site.reader();
+  const auto polling_reader = site.reader();
   const auto start = std::chrono::steady_clock::now();
-  const Reply opened = submit(site, *patient, other, "report", "acme", 2500);
-  CHECK(held(site) == 600'000);
+  const Reply opened = submit(site, *polling_reader, other, "report", "acme", 2500);
+  CHECK(held_bytes(site) == 600'000);
   reader->reset();
-  // One that keeps asking keeps its lease, though never beyond the request's own give-up time.
+  // Every fetch renews the lease, but never beyond the request's give-up time.
   Reply part;
   do {
     site.run_for(milliseconds(20));
-    part = ask(site, *patient, "fetch", from_row(opened.at("handle"), 0, "100"));
+    part = call_and_wait(site, *polling_reader, "fetch", from_row(opened.at("handle"), 0, "100"));
   } while (part.field == 0);
   CHECK(std::chrono::steady_clock::now() - start > milliseconds(2400));
   CHECK(part.at("code") == "too-late");
-  CHECK(held(site) == 0);
+  CHECK(held_bytes(site) == 0);
   reader = site.reader();
-  CHECK(ask(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}}).at("code") == "lease-ended");
-  CHECK(ask(site, *reader, "resume", {{"txn", other}, {"team", "acme"}}).at("code") == "too-late");
+  CHECK(call_and_wait(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}}).at("code") == "lease-ended");
+  CHECK(call_and_wait(site, *reader, "resume", {{"txn", other}, {"team", "acme"}}).at("code") == "too-late");
   CHECK(site.runs(kId) == 1);
   CHECK(site.server->spool()->logic().size() == 0);
 }
 
-TEST_CASE("spool: interrupt while pages come in frees the engine and the bytes") {
-  Site::Options options = long_reports();
+TEST_CASE("spool: an interrupt while pages arrive frees the engine and the memory") {
+  Site::Options options = long_report_options();
   options.script->fault = [](const Moment& m) {
     return m.at == At::kPage && m.page == 30 ? Fault::kSilent : Fault::kNone;
   };
   Site site(options);
   const auto reader = site.reader();
   reader->call("submit", 5, request(kId), "select * from lessons_3.hours");
-  REQUIRE(site.until([&] { return held(site) > 0 && site.engines[0]->heard("read") >= 30; }));
+  REQUIRE(site.until([&] { return held_bytes(site) > 0 && site.engines[0]->heard("read") >= 30; }));
   reader->write(encode_interrupt(5));
   REQUIRE(site.until([&] { return site.open_sessions() == 0; }));
-  CHECK(held(site) == 0);
-  CHECK(ask(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}}).at("code") == "interrupted");
+  CHECK(held_bytes(site) == 0);
+  CHECK(call_and_wait(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}}).at("code") == "interrupted");
 }
 
-TEST_CASE("spool: no handle opens what is another's, and every refusal says why") {
-  Site site(long_reports());
+TEST_CASE("spool: a handle gives no access to another tenant's result, and every refusal has its reason") {
+  Site site(long_report_options());
   const auto reader = site.reader();
   const Reply opened = submit(site, *reader, kId);
   const std::string handle = opened.at("handle");
-  const auto stranger = site.reader();
-  // Another tenant's handle and a forged one are told apart by nothing.
-  const Reply forged = ask(site, *stranger, "fetch", from_row(std::string(32, 'a'), 0, "10", "umbra"));
-  const Reply others = ask(site, *stranger, "fetch", from_row(handle, 0, "10", "umbra"));
+  const auto other_reader = site.reader();
+  // Another tenant's handle and a forged one give identical refusals.
+  const Reply forged =
+      call_and_wait(site, *other_reader, "fetch", from_row(std::string(32, 'a'), 0, "10", "umbra"));
+  const Reply others = call_and_wait(site, *other_reader, "fetch", from_row(handle, 0, "10", "umbra"));
   CHECK(forged.at("code") == "unknown");
   CHECK(others.fields == forged.fields);
   CHECK(others.body.empty());
-  CHECK(ask(site, *stranger, "resume", {{"txn", kId}, {"team", "umbra"}}).fields == forged.fields);
-  CHECK(ask(site, *stranger, "fetch", from_row(handle, 0, "10", "nobody")).at("code") == "unusable");
-  // The same tenant, by another connection: not while the first one reads.
-  CHECK(ask(site, *stranger, "fetch", from_row(handle, 0)).at("code") == "other-reader");
-  CHECK(ask(site, *stranger, "resume", {{"txn", kId}, {"team", "acme"}}).field == 0);
-  CHECK(ask(site, *reader, "fetch", from_row(handle, 0)).at("code") == "other-reader");
-  CHECK(ask(site, *stranger, "fetch", from_row(handle, 3000)).at("code") == "beyond");
-  CHECK(ask(site, *stranger, "fetch", {{"handle", handle}, {"team", "acme"}, {"page", "50"}}).at("code") ==
-        "beyond");
-  CHECK(ask(site, *stranger, "fetch", {{"handle", handle}, {"team", "acme"}}).at("code") == "unusable");
-  CHECK(ask(site, *stranger, "fetch", from_row(handle, 0, "-1")).at("code") == "unusable");
+  CHECK(call_and_wait(site, *other_reader, "resume", {{"txn", kId}, {"team", "umbra"}}).fields ==
+        forged.fields);
+  CHECK(call_and_wait(site, *other_reader, "fetch", from_row(handle, 0, "10", "nobody")).at("code") ==
+        "unusable");
+  // Another connection of the same tenant is refused while the first one reads.
+  CHECK(call_and_wait(site, *other_reader, "fetch", from_row(handle, 0)).at("code") == "other-reader");
+  CHECK(call_and_wait(site, *other_reader, "resume", {{"txn", kId}, {"team", "acme"}}).field == 0);
+  CHECK(call_and_wait(site, *reader, "fetch", from_row(handle, 0)).at("code") == "other-reader");
+  CHECK(call_and_wait(site, *other_reader, "fetch", from_row(handle, 3000)).at("code") == "beyond");
+  CHECK(call_and_wait(site, *other_reader, "fetch", {{"handle", handle}, {"team", "acme"}, {"page", "50"}})
+            .at("code") == "beyond");
+  CHECK(call_and_wait(site, *other_reader, "fetch", {{"handle", handle}, {"team", "acme"}}).at("code") ==
+        "unusable");
+  CHECK(call_and_wait(site, *other_reader, "fetch", from_row(handle, 0, "-1")).at("code") == "unusable");
   CHECK(
-      ask(site, *stranger, "acknowledge", {{"handle", handle}, {"team", "acme"}, {"rows", "x"}}).at("code") ==
-      "unusable");
-  CHECK(submit(site, *stranger, kId).at("reason") == "txn in use");
-  CHECK(ask(site, *stranger, "release", {{"handle", handle}, {"team", "acme"}}).field == 0);
-  CHECK(ask(site, *stranger, "fetch", from_row(handle, 0)).at("code") == "released");
-  CHECK(held(site) == 0);
+      call_and_wait(site, *other_reader, "acknowledge", {{"handle", handle}, {"team", "acme"}, {"rows", "x"}})
+          .at("code") == "unusable");
+  CHECK(submit(site, *other_reader, kId).at("reason") == "txn in use");
+  CHECK(call_and_wait(site, *other_reader, "release", {{"handle", handle}, {"team", "acme"}}).field == 0);
+  CHECK(call_and_wait(site, *other_reader, "fetch", from_row(handle, 0)).at("code") == "released");
+  CHECK(held_bytes(site) == 0);
 }
 
-TEST_CASE("spool: a full spool answers directly what it may, and says so of what it may not") {
-  Site::Options options = long_reports();
+TEST_CASE("spool: a full spool answers short results directly and refuses longer ones with a reason") {
+  Site::Options options = long_report_options();
   options.conf = "spool {\n  listen 127.0.0.1:0\n  memory 1m reserved 0%\n  result-most 256k\n}\n";
   options.script->rows = 2000;  // 200 KB
   Site site(options);
@@ -304,27 +309,27 @@
   id.back() = '7';
   CHECK(submit(site, *reader, id, "load").at("again") == "0");
   CHECK(site.runs(id) == 1);
-  // Within the platform's bound it is answered whole, as without a spool.
+  // Within the platform's limit the whole result is sent at once, as without a spool.
   site.script->rows = 400;
   id.back() = '8';
   Reply whole_answer = submit(site, *reader, id);
   REQUIRE(whole_answer.field == 0);
   CHECK(whole_answer.at("handle").empty());
   CHECK(whole_answer.body == whole(*site.script, id, 1));
-  CHECK(ask(site, *reader, "resume", {{"txn", id}, {"team", "acme"}}).at("code") == "answered");
+  CHECK(call_and_wait(site, *reader, "resume", {{"txn", id}, {"team", "acme"}}).at("code") == "answered");
   site.script->rows = 2700;
   id.back() = '9';
   CHECK(submit(site, *reader, id).at("code") == "too-long");
   for (const std::string& handle : handles)
-    CHECK(ask(site, *reader, "release", {{"handle", handle}, {"team", "acme"}}).field == 0);
-  CHECK(held(site) == 0);
-  // The engines' connections were not given up over it, nor were they taken for ill.
+    CHECK(call_and_wait(site, *reader, "release", {{"handle", handle}, {"team", "acme"}}).field == 0);
+  CHECK(held_bytes(site) == 0);
+  // Refusing a result neither drops the engines' connections nor counts as a failure of theirs.
   CHECK(site.open_sessions() == 0);
   CHECK(site.server->broken_invariants() == 0);
 }
 
-TEST_CASE("spool: one tenant's stalled readers leave the other its share") {
-  Site::Options options = long_reports();
+TEST_CASE("spool: one tenant's stalled readers do not use the other's share") {
+  Site::Options options = long_report_options();
   options.change = [](nlohmann::json& config) { config["limits"]["sockets"] = 4096; };
   options.conf =
       "spool {\n  listen 127.0.0.1:0\n  memory 4m reserved 60%\n  result-most 512k\n  sessions 500\n"
@@ -337,7 +342,7 @@
     std::string id = "000000000000a000";
     id[14] = static_cast<char>('0' + i / 10), id[15] = static_cast<char>('0' + i % 10);
     stalled.back()->call("submit", 1, request(id), "select * from lessons_3.hours");
-    // Asks for much, and reads none of it.
+    // Requests a lot and reads none of it.
     const auto opened = site.reply(*stalled.back());
     if (opened->field != 0) {
       ++full;
@@ -347,7 +352,7 @@
       stalled.back()->call("fetch", call, from_row(opened->at("handle"), 0, "999999"));
   }
   CHECK(full > 80);
-  CHECK(held(site) <= 4u << 20);
+  CHECK(held_bytes(site) <= 4u << 20);
   const auto reader = site.reader();
   for (const char c : {'1', '2', '3', '4'}) {
     std::string id = "00000000000000f0";
@@ -355,20 +360,20 @@
     const Reply opened = submit(site, *reader, id, "report", "umbra");
     REQUIRE(opened.field == 0);
     REQUIRE_FALSE(opened.at("handle").empty());
-    CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60, "20000", "umbra") ==
+    CHECK(opened.body + read_rest(site, *reader, opened.at("handle"), 60, "20000", "umbra") ==
           whole(*site.script, id, 1));
-    ask(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "umbra"}});
+    call_and_wait(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "umbra"}});
   }
-  CHECK(held(site) <= 4u << 20);
+  CHECK(held_bytes(site) <= 4u << 20);
 }
 
-TEST_CASE("spool: 2,000 stalled readers at once hold no engine, keep to the budget, and leave nothing") {
+TEST_CASE("spool: 2,000 stalled readers hold no engine, stay within the budget, and leave nothing behind") {
   rlimit limit{};
   REQUIRE(::getrlimit(RLIMIT_NOFILE, &limit) == 0);
   limit.rlim_cur = limit.rlim_max;
   REQUIRE(::setrlimit(RLIMIT_NOFILE, &limit) == 0);
-  constexpr int kReaders = 2000, kAtATime = 10;
-  Site::Options options = long_reports(2);
+  constexpr int kReaders = 2000, kBatch = 10;
+  Site::Options options = long_report_options(2);
   options.change = [](nlohmann::json& config) { config["limits"]["sockets"] = 8192; };
   options.script->rows = 1000;  // 100 KB: too long for a direct answer
   constexpr std::uint64_t kBudget = 32u << 20;
@@ -378,20 +383,20 @@
   Site site(options);
   std::vector<std::unique_ptr<Client>> stalled;
   int kept = 0;
-  std::uint64_t most = 0;
-  for (int from = 0; from < kReaders; from += kAtATime) {
-    for (int i = from; i < from + kAtATime; ++i) {
+  std::uint64_t max_held = 0;
+  for (int from = 0; from < kReaders; from += kBatch) {
+    for (int i = from; i < from + kBatch; ++i) {
       char id[17];
       std::snprintf(id, sizeof id, "%016x", 0xa0000 + i);
       stalled.push_back(site.reader());
       stalled.back()->call("submit", 1, request(id, "report", "acme", 19000),
                            "select * from lessons_3.hours");
     }
-    for (int i = from; i < from + kAtATime; ++i) {
+    for (int i = from; i < from + kBatch; ++i) {
       Client& reader = *stalled[static_cast<std::size_t>(i)];
       const auto opened = site.reply(reader);
       REQUIRE(opened);
-      // Asks for all of it over and over, and reads none.
+      // Requests the whole result repeatedly and reads none of it.
       if (opened->field == 0) {
         ++kept;
         for (int call = 2; call < 30; ++call)
@@ -400,50 +405,50 @@
         CHECK(opened->at("code") == "spool-full");
       }
     }
-    most = std::max(most, held(site));
+    max_held = std::max(max_held, held_bytes(site));
   }
   CHECK(stalled.size() == kReaders);
   CHECK(kept > 200);
-  CHECK(most <= kBudget);
+  CHECK(max_held <= kBudget);
   REQUIRE(site.until([&] { return site.open_sessions() == 0; }));
-  // Both kinds of query still have their answers: the other tenant's from its reserve, the direct ones from
-  // none.
+  // Both kinds of query are still answered: the other tenant's from its reserve, and direct ones without
+  // memory of the spool.
   const auto reader = site.reader();
   const std::string id = "00000000000000f0";
   const Reply opened = submit(site, *reader, id, "report", "umbra");
   REQUIRE(opened.field == 0);
-  CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60, "20000", "umbra") ==
+  CHECK(opened.body + read_rest(site, *reader, opened.at("handle"), 60, "20000", "umbra") ==
         whole(*site.script, id, 1));
-  ask(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "umbra"}});
+  call_and_wait(site, *reader, "release", {{"handle", opened.at("handle")}, {"team", "umbra"}});
   for (const auto& client : stalled) client->reset();
-  REQUIRE(site.until([&] { return held(site) == 0; }, std::chrono::seconds(60)));
+  REQUIRE(site.until([&] { return held_bytes(site) == 0; }, std::chrono::seconds(60)));
   CHECK(site.server->spool()->logic().size() == 0);
   CHECK(site.server->broken_invariants() == 0);
 }
 
-TEST_CASE("spool: a reload below what is in use keeps what is there, a bad one changes nothing") {
-  Site site(long_reports());
+TEST_CASE("spool: a reload with a budget below its use keeps the results; an invalid one changes nothing") {
+  Site site(long_report_options());
   const auto reader = site.reader();
   const Reply opened = submit(site, *reader, kId);
   REQUIRE(opened.field == 0);
   site.set_conf("spool {\n  listen 127.0.0.1:0\n  memory 1m\n  result-most 256k\n  window-most 16k\n}\n");
   site.server->reload();
-  CHECK(site.server->spool()->settings().logic.memory.most == 1u << 20);
-  CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60) == whole(*site.script, kId, 1));
+  CHECK(site.server->spool()->settings().logic.memory.max_bytes == 1u << 20);
+  CHECK(opened.body + read_rest(site, *reader, opened.at("handle"), 60) == whole(*site.script, kId, 1));
   for (const char* bad : {"spool {\n  memory 8m\n", "", "spool {\n  listen 127.0.0.1:1\n  memory 2m\n}\n",
                           "spool {\n  listen 127.0.0.1:0\n  memory 8g\n  result-most 8m\n}\n"}) {
     site.set_conf(bad);
     site.server->reload();
-    CHECK(site.server->spool()->settings().logic.memory.most == 1u << 20);
+    CHECK(site.server->spool()->settings().logic.memory.max_bytes == 1u << 20);
   }
 }
 
 namespace {
 
-// A site whose spool lies on a disk that fails on request, and a wall clock that jumps on request.
-struct OnDisk {
-  explicit OnDisk(const std::string& more = "  disk-above 1k\n") {
-    Site::Options options = long_reports(1, "  disk /unused 64m\n" + more);
+// A test site whose spool uses a faulty disk, and a wall clock that the test sets.
+struct DiskFixture {
+  explicit DiskFixture(const std::string& more = "  disk-above 1k\n") {
+    Site::Options options = long_report_options(1, "  disk /unused 64m\n" + more);
     options.substitutes = [this] {
       return spool::Substitutes{disk->files(), disk->index(), [this] { return unix_us; }};
     };
@@ -462,135 +467,142 @@
 
 }  // namespace
 
-TEST_CASE("spool: results on disk are read back byte for byte, and what is gone leaves nothing") {
-  OnDisk w;
-  const auto reader = w.site->reader();
-  const Reply opened = submit(*w.site, *reader, kId);
-  REQUIRE(w.stored());
-  CHECK(w.site->server->spool()->logic().view(0xa1)->on_disk);
-  CHECK(held(*w.site) == 0);
-  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) == whole(*w.site->script, kId, 1));
-  CHECK(held(*w.site) == 0);
-  CHECK(ask(*w.site, *reader, "acknowledge",
-            {{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}})
+TEST_CASE("spool: results on disk are read back unchanged, and ended ones leave nothing behind") {
+  DiskFixture fixture;
+  const auto reader = fixture.site->reader();
+  const Reply opened = submit(*fixture.site, *reader, kId);
+  REQUIRE(fixture.stored());
+  CHECK(fixture.site->server->spool()->logic().view(0xa1)->on_disk);
+  CHECK(held_bytes(*fixture.site) == 0);
+  CHECK(opened.body + read_rest(*fixture.site, *reader, opened.at("handle"), 60) ==
+        whole(*fixture.site->script, kId, 1));
+  CHECK(held_bytes(*fixture.site) == 0);
+  CHECK(call_and_wait(*fixture.site, *reader, "acknowledge",
+                      {{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}})
             .field == 0);
-  REQUIRE(w.site->until([&] { return w.site->server->spool()->disk_idle(); }));
-  CHECK(w.site->server->spool()->logic().disk().used() == 0);
-  CHECK(w.disk->entries().empty());
+  REQUIRE(fixture.site->until([&] { return fixture.site->server->spool()->disk_idle(); }));
+  CHECK(fixture.site->server->spool()->logic().disk().used() == 0);
+  CHECK(fixture.disk->index_entries().empty());
 }
 
-TEST_CASE("spool: after a kill the next process goes on with what was on disk") {
-  OnDisk w;
-  auto reader = w.site->reader();
-  const Reply opened = submit(*w.site, *reader, kId);
-  REQUIRE(w.stored());
-  w.site->kill();
-  w.disk = w.disk->after_kill();
-  w.unix_us += 2'000'000;
-  w.site->start();
-  reader = w.site->reader();
-  const Reply again = ask(*w.site, *reader, "resume", {{"txn", kId}, {"team", "acme"}});
+TEST_CASE("spool: after a kill the next process continues with the results on disk") {
+  DiskFixture fixture;
+  auto reader = fixture.site->reader();
+  const Reply opened = submit(*fixture.site, *reader, kId);
+  REQUIRE(fixture.stored());
+  fixture.site->kill();
+  fixture.disk = fixture.disk->after_kill();
+  fixture.unix_us += 2'000'000;
+  fixture.site->start();
+  reader = fixture.site->reader();
+  const Reply again = call_and_wait(*fixture.site, *reader, "resume", {{"txn", kId}, {"team", "acme"}});
   REQUIRE(again.field == 0);
   CHECK(again.at("handle") == opened.at("handle"));
-  CHECK(opened.body + rest(*w.site, *reader, again.at("handle"), 60) == whole(*w.site->script, kId, 1));
-  CHECK(w.site->runs(kId) == 1);
-  CHECK(metric(*w.site, "steprail_spool_recovered_total") == 1);
+  CHECK(opened.body + read_rest(*fixture.site, *reader, again.at("handle"), 60) ==
+        whole(*fixture.site->script, kId, 1));
+  CHECK(fixture.site->runs(kId) == 1);
+  CHECK(metric_value(*fixture.site, "steprail_spool_recovered_total") == 1);
 }
 
-// Guards against a result that its reader has whole lying on the disk until its lease ends.
-TEST_CASE("spool: what was read to its end before a restart and is acknowledged after it is gone at once") {
-  OnDisk w("  disk-above 1k\n  lease 1h\n");
-  auto reader = w.site->reader();
-  const Reply opened = submit(*w.site, *reader, kId);
-  REQUIRE(w.stored());
-  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) == whole(*w.site->script, kId, 1));
-  w.site->kill();
-  w.disk = w.disk->after_kill();
-  w.site->start();
-  reader = w.site->reader();
+// Guards against keeping a fully read result on disk until its lease ends.
+TEST_CASE("spool: a result fully read before a restart ends when it is acknowledged after the restart") {
+  DiskFixture fixture("  disk-above 1k\n  lease 1h\n");
+  auto reader = fixture.site->reader();
+  const Reply opened = submit(*fixture.site, *reader, kId);
+  REQUIRE(fixture.stored());
+  CHECK(opened.body + read_rest(*fixture.site, *reader, opened.at("handle"), 60) ==
+        whole(*fixture.site->script, kId, 1));
+  fixture.site->kill();
+  fixture.disk = fixture.disk->after_kill();
+  fixture.site->start();
+  reader = fixture.site->reader();
   const Fields ack{{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}};
-  CHECK(ask(*w.site, *reader, "acknowledge", ack).field == 0);
-  REQUIRE(w.site->until([&] { return w.site->server->spool()->disk_idle(); }));
-  CHECK(w.site->server->spool()->logic().size() == 0);
-  CHECK(w.disk->entries().empty());
+  CHECK(call_and_wait(*fixture.site, *reader, "acknowledge", ack).field == 0);
+  REQUIRE(fixture.site->until([&] { return fixture.site->server->spool()->disk_idle(); }));
+  CHECK(fixture.site->server->spool()->logic().size() == 0);
+  CHECK(fixture.disk->index_entries().empty());
 }
 
-// Guards against leases that a wall clock lengthens or cuts.
-TEST_CASE("spool: a wall clock that jumps moves no lease, and after a restart lengthens none") {
-  OnDisk w("  disk-above 1k\n  lease 1h\n");
-  auto reader = w.site->reader();
-  submit(*w.site, *reader, kId);
-  const auto before = w.site->server->spool()->logic().view(0xa1)->expires;
-  REQUIRE(w.stored());
-  w.unix_us += 3'600'000'000;
-  w.site->run_for(milliseconds(30));
-  CHECK(w.site->server->spool()->logic().view(0xa1)->expires == before);
-  // Set back by an hour while the process was away: it has no more time than it had.
-  w.unix_us -= 2 * 3'600'000'000ll;
-  w.site->kill();
-  w.disk = w.disk->after_kill();
-  w.site->start();
-  const auto view = w.site->server->spool()->logic().view(0xa1);
+// Guards against the wall clock extending or shortening leases.
+TEST_CASE("spool: jumps of the wall clock change no lease, and after a restart extend none") {
+  DiskFixture fixture("  disk-above 1k\n  lease 1h\n");
+  auto reader = fixture.site->reader();
+  submit(*fixture.site, *reader, kId);
+  const auto before = fixture.site->server->spool()->logic().view(0xa1)->expires_at;
+  REQUIRE(fixture.stored());
+  fixture.unix_us += 3'600'000'000;
+  fixture.site->run_for(milliseconds(30));
+  CHECK(fixture.site->server->spool()->logic().view(0xa1)->expires_at == before);
+  // Set back by an hour while the process was down: the remaining time does not grow.
+  fixture.unix_us -= 2 * 3'600'000'000ll;
+  fixture.site->kill();
+  fixture.disk = fixture.disk->after_kill();
+  fixture.site->start();
+  const auto view = fixture.site->server->spool()->logic().view(0xa1);
   REQUIRE(view);
   const auto now = std::chrono::duration_cast<Micros>(std::chrono::steady_clock::now().time_since_epoch());
-  CHECK(view->give_up - now <= std::chrono::seconds(9));
-  // Set forward past its time: it is gone, and nothing of it stays.
-  w.unix_us += 4 * 3'600'000'000ll;
-  w.site->kill();
-  w.disk = w.disk->after_kill();
-  w.site->start();
-  CHECK_FALSE(w.site->server->spool()->logic().view(0xa1));
-  CHECK(w.disk->entries().empty());
+  CHECK(view->give_up_at - now <= std::chrono::seconds(9));
+  // Set forward beyond the give-up time: the result is dropped, and nothing of it remains.
+  fixture.unix_us += 4 * 3'600'000'000ll;
+  fixture.site->kill();
+  fixture.disk = fixture.disk->after_kill();
+  fixture.site->start();
+  CHECK_FALSE(fixture.site->server->spool()->logic().view(0xa1));
+  CHECK(fixture.disk->index_entries().empty());
 }
 
-TEST_CASE("spool: after a failed sync the tier is closed, and what was to go there stays in memory") {
-  OnDisk w;
-  // Made, its name synced, a chunk of the 300 KB five times, then the sync.
-  w.disk->fail_at(2 + 5 + 1, FaultyDisk::Fault::kEio);
-  const auto reader = w.site->reader();
-  const Reply opened = submit(*w.site, *reader, kId);
-  REQUIRE(w.site->until([&] { return !w.site->server->spool()->logic().disk_open(); }));
-  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) == whole(*w.site->script, kId, 1));
-  CHECK(held(*w.site) == 300'000);
-  const std::size_t operations = w.disk->operations();
+TEST_CASE("spool: a failed sync closes the disk tier, and its results stay in memory") {
+  DiskFixture fixture;
+  // Operations before the sync: create, sync of the directory, five chunks of the 300 KB.
+  fixture.disk->fail_at(2 + 5 + 1, FaultyDisk::Fault::kEio);
+  const auto reader = fixture.site->reader();
+  const Reply opened = submit(*fixture.site, *reader, kId);
+  REQUIRE(fixture.site->until([&] { return !fixture.site->server->spool()->logic().disk_usable(); }));
+  CHECK(opened.body + read_rest(*fixture.site, *reader, opened.at("handle"), 60) ==
+        whole(*fixture.site->script, kId, 1));
+  CHECK(held_bytes(*fixture.site) == 300'000);
+  const std::size_t operations = fixture.disk->operation_count();
   std::string other = kId;
   other.back() = '2';
-  REQUIRE(submit(*w.site, *reader, other).field == 0);
-  w.site->run_for(milliseconds(20));
-  CHECK(w.disk->operations() == operations);
-  CHECK(w.disk->writes_after_failed_sync() == 0);
+  REQUIRE(submit(*fixture.site, *reader, other).field == 0);
+  fixture.site->run_for(milliseconds(20));
+  CHECK(fixture.disk->operation_count() == operations);
+  CHECK(fixture.disk->writes_after_failed_sync() == 0);
 }
 
-TEST_CASE("spool: rows that the disk has spoilt are not served, and the reader is told") {
-  OnDisk w;
-  const auto reader = w.site->reader();
-  const Reply opened = submit(*w.site, *reader, kId);
-  REQUIRE(w.stored());
-  w.disk->flip_bit(w.disk->content().begin()->first, 100'000, 3);
-  CHECK(ask(*w.site, *reader, "fetch", from_row(opened.at("handle"), 0, "6000")).field == 0);
-  const Reply spoilt = ask(*w.site, *reader, "fetch", from_row(opened.at("handle"), 900, "6000"));
+TEST_CASE("spool: corrupt rows are not served, and the reader is told that the result is lost") {
+  DiskFixture fixture;
+  const auto reader = fixture.site->reader();
+  const Reply opened = submit(*fixture.site, *reader, kId);
+  REQUIRE(fixture.stored());
+  fixture.disk->flip_bit(fixture.disk->contents().begin()->first, 100'000, 3);
+  CHECK(call_and_wait(*fixture.site, *reader, "fetch", from_row(opened.at("handle"), 0, "6000")).field == 0);
+  const Reply spoilt =
+      call_and_wait(*fixture.site, *reader, "fetch", from_row(opened.at("handle"), 900, "6000"));
   CHECK(spoilt.at("code") == "lost");
   CHECK(spoilt.body.empty());
-  CHECK(ask(*w.site, *reader, "fetch", from_row(opened.at("handle"), 0, "6000")).at("code") == "lost");
-  CHECK(held(*w.site) == 0);
+  CHECK(call_and_wait(*fixture.site, *reader, "fetch", from_row(opened.at("handle"), 0, "6000")).at("code") ==
+        "lost");
+  CHECK(held_bytes(*fixture.site) == 0);
 }
 
-// Guards against a result given up for lost where only descriptors are short.
-TEST_CASE("spool: with all descriptors taken a read is refused, not lost") {
-  OnDisk w;
-  const auto reader = w.site->reader();
-  const Reply opened = submit(*w.site, *reader, kId);
-  REQUIRE(w.stored());
-  w.disk->take_descriptors(true);
-  const Reply busy = ask(*w.site, *reader, "fetch", from_row(opened.at("handle"), 60));
+// Guards against counting a result as lost when only file descriptors are short.
+TEST_CASE("spool: without file descriptors a read is refused but the result is kept") {
+  DiskFixture fixture;
+  const auto reader = fixture.site->reader();
+  const Reply opened = submit(*fixture.site, *reader, kId);
+  REQUIRE(fixture.stored());
+  fixture.disk->exhaust_descriptors(true);
+  const Reply busy = call_and_wait(*fixture.site, *reader, "fetch", from_row(opened.at("handle"), 60));
   CHECK(busy.field == 1);
   CHECK(busy.at("code") == "busy");
-  w.disk->take_descriptors(false);
-  CHECK(opened.body + rest(*w.site, *reader, opened.at("handle"), 60) == whole(*w.site->script, kId, 1));
+  fixture.disk->exhaust_descriptors(false);
+  CHECK(opened.body + read_rest(*fixture.site, *reader, opened.at("handle"), 60) ==
+        whole(*fixture.site->script, kId, 1));
 }
 
-TEST_CASE("spool: connections beyond their number wait or take the place of one that is idle") {
-  Site::Options options = long_reports(1, "  sessions 4\n");
+TEST_CASE("spool: connections beyond the limit wait or replace an idle one") {
+  Site::Options options = long_report_options(1, "  sessions 4\n");
   Site site(options);
   std::vector<std::unique_ptr<Client>> idle;
   for (int i = 0; i < 12; ++i) {
@@ -603,36 +615,36 @@
 }
 
 TEST_CASE(
-    "spool: at SIGTERM without a disk unread results are still read, and the end waits no longer than "
+    "spool: after SIGTERM without a disk unread results can be read, and the process waits no longer than "
     "leases") {
-  Site site(long_reports());
+  Site site(long_report_options());
   const auto reader = site.reader();
   const Reply opened = submit(site, *reader, kId, "report", "acme", 3000);
   const auto other = site.reader();
-  std::string never = kId;
-  never.back() = '2';
+  std::string unread_id = kId;
+  unread_id.back() = '2';
   const auto start = std::chrono::steady_clock::now();
-  REQUIRE(submit(site, *other, never, "report", "acme", 2000).field == 0);
+  REQUIRE(submit(site, *other, unread_id, "report", "acme", 2000).field == 0);
   other->reset();
   site.server->stop();
-  site.run_for(milliseconds(900));  // past the grace: nothing new is taken
-  std::string late = kId;
-  late.back() = '3';
-  CHECK(submit(site, *reader, late).at("code") == "refused");
-  CHECK(opened.body + rest(site, *reader, opened.at("handle"), 60) == whole(*site.script, kId, 1));
-  CHECK(
-      ask(site, *reader, "acknowledge", {{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}})
-          .field == 0);
+  site.run_for(milliseconds(900));  // past the drain grace: no new request is accepted
+  std::string late_id = kId;
+  late_id.back() = '3';
+  CHECK(submit(site, *reader, late_id).at("code") == "refused");
+  CHECK(opened.body + read_rest(site, *reader, opened.at("handle"), 60) == whole(*site.script, kId, 1));
+  CHECK(call_and_wait(site, *reader, "acknowledge",
+                      {{"handle", opened.at("handle")}, {"team", "acme"}, {"rows", "3000"}})
+            .field == 0);
   CHECK_FALSE(site.server->io().stopped());
   REQUIRE(site.until([&] { return site.server->io().stopped(); }));
-  const auto took = std::chrono::steady_clock::now() - start;
-  CHECK(took > milliseconds(1900));
-  CHECK(held(site) == 0);
+  const auto elapsed = std::chrono::steady_clock::now() - start;
+  CHECK(elapsed > milliseconds(1900));
+  CHECK(held_bytes(site) == 0);
 }
 
 namespace {
 
-// The real program in a process of its own, its log read from a pipe.
+// The real program in a process of its own; its log is read from a pipe.
 class Process {
  public:
   explicit Process(const Site& site) {
@@ -648,22 +660,22 @@
     }
     ::close(ends[1]);
     log_ = ends[0];
-    const std::string line = until("spool-listening address=");
+    const std::string line = read_log_until("spool-listening address=");
     const std::size_t colon = line.rfind(':');
     endpoint = {boost::asio::ip::address_v4::loopback(),
                 static_cast<std::uint16_t>(std::stoi(line.substr(colon + 1)))};
   }
   ~Process() {
-    if (pid_ > 0) end(SIGKILL);
+    if (pid_ > 0) signal_and_wait(SIGKILL);
     ::close(log_);
   }
-  int end(int signal) {
+  int signal_and_wait(int signal) {
     int status = 0;
     ::kill(pid_, signal);
     ::waitpid(std::exchange(pid_, 0), &status, 0);
     return status;
   }
-  std::string until(const std::string& text) {
+  std::string read_log_until(const std::string& text) {
     for (char c = 0; ::read(log_, &c, 1) == 1;) {
       if (c != '\n') {
         line_.push_back(c);
@@ -672,7 +684,7 @@
       const std::string line = std::exchange(line_, {});
       if (line.find(text) != std::string::npos) return line;
     }
-    FAIL("the program's log has ended");
+    FAIL("the program's log ended");
     return {};
   }
   tcp::endpoint endpoint;
@@ -685,11 +697,11 @@
 
 }  // namespace
 
-TEST_CASE("spool: the real program, killed or asked to stop, leaves to the next one what its disk holds") {
+TEST_CASE("spool: the real program, killed or stopped, leaves its results on disk to the next process") {
   for (const int signal : {SIGKILL, SIGTERM}) {
-    Site::Options options = long_reports();
+    Site::Options options = long_report_options();
     Site site(options);
-    site.kill();  // its engines, files and directory stay; the coordinator is a process of its own
+    site.kill();  // its engines, files and directory stay; the coordinator runs as a separate process
     site.set_conf("spool {\n  listen 127.0.0.1:0\n  memory 16m\n  result-most 4m\n  disk " +
                   site.folder.path("disk") + " 64m\n" + (signal == SIGKILL ? "  disk-above 1k\n" : "") +
                   "}\n");
@@ -698,17 +710,18 @@
     const Reply opened = submit(site, *reader, kId, "report", "acme", 15000);
     REQUIRE(opened.field == 0);
     if (signal == SIGKILL) {
-      // On disk once a fetch has been answered from there, which the log does not tell: the folder does.
+      // The log does not report when a result is on disk, so the folder is watched instead.
       REQUIRE(site.until([&] {
         std::uintmax_t bytes = 0;
         for (const auto& entry : std::filesystem::directory_iterator(site.folder.path("disk")))
           if (entry.path().filename() != "index") bytes += entry.file_size();
         return bytes > 300'000;
       }));
-      // Its sync and the index follow the bytes; a result stored behind it is their proof.
-      std::string behind = kId;
-      behind.back() = '2';
-      REQUIRE(submit(site, *reader, behind, "report", "acme", 15000).field == 0);
+      // The sync and the index commit follow the data; once a second result is written behind it, both are
+      // done.
+      std::string second_id = kId;
+      second_id.back() = '2';
+      REQUIRE(submit(site, *reader, second_id, "report", "acme", 15000).field == 0);
       REQUIRE(site.until([&] {
         std::uintmax_t bytes = 0;
         for (const auto& entry : std::filesystem::directory_iterator(site.folder.path("disk")))
@@ -716,22 +729,22 @@
         return bytes > 600'000;
       }));
     }
-    const int status = process->end(signal);
+    const int status = process->signal_and_wait(signal);
     if (signal == SIGTERM) CHECK((WIFEXITED(status) && WEXITSTATUS(status) == 0));
     process = std::make_unique<Process>(site);
     reader = std::make_unique<Client>(site.io, process->endpoint);
-    const Reply again = ask(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}});
+    const Reply again = call_and_wait(site, *reader, "resume", {{"txn", kId}, {"team", "acme"}});
     REQUIRE(again.field == 0);
-    CHECK(again.body + rest(site, *reader, again.at("handle"), 60) == whole(*site.script, kId, 1));
+    CHECK(again.body + read_rest(site, *reader, again.at("handle"), 60) == whole(*site.script, kId, 1));
     CHECK(site.runs(kId) == 1);
   }
 }
 
-// Guards against the platform's service changing for what is switched on beside it.
-TEST_CASE("spool: the platform's service gives the same bytes with the spool on") {
+// Guards against changes to the platform's service when the spool is enabled.
+TEST_CASE("spool: the platform's service sends the same bytes with the spool enabled") {
   std::string bytes[2];
   for (const bool on : {false, true}) {
-    Site::Options options = long_reports();
+    Site::Options options = long_report_options();
     options.script->rows = 300;
     if (!on) options.conf.clear();
     Site site(options);
@@ -752,7 +765,7 @@
 }
 
 TEST_CASE("spool: metrics are written to their file at SIGUSR1") {
-  Site::Options options = long_reports();
+  Site::Options options = long_report_options();
   const Folder folder;
   options.conf += "metrics {\n  file " + folder.path("m.prom") + "\n}\n";
   Site site(options);
