--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -85,8 +85,8 @@
   recovery.incarnations = {new_incarnation};
   if (!conf.ledger_folder.empty() || index) {
     if (!index) {
-      spool::posix_files(conf.ledger_folder);  // creates the folder, or throws with the reason
-      index = spool::lmdb_index(conf.ledger_folder, conf.max_ledger_bytes);
+      spool::open_posix_files(conf.ledger_folder);  // creates the folder, or throws with the reason
+      index = spool::open_lmdb_index(conf.ledger_folder, conf.max_ledger_bytes);
     }
     ledger_ = std::make_unique<LedgerWriter>(
         strand, std::move(index), settings.tenants, [this](const LedgerRecord& record, bool durable) {
@@ -213,17 +213,17 @@
   running.repeatable = coordinator_.settings().classes[static_cast<std::size_t>(query.cls)].idempotency ==
                        Idempotency::kIdempotent;
   running.spooled =
-      spool_.submitted(query.id, query.tenant, action.request | kEdgeReaderBit, query.time_limit);
+      spool_.add_request(query.id, query.tenant, action.request | kEdgeReaderBit, query.time_limit);
   if (running.spooled) {
     query.sink = &spool_;
-    query.max_result_bytes = spool_.settings().logic.result_most;
+    query.max_result_bytes = spool_.settings().logic.max_result_bytes;
   }
   coordinator_.arrived(std::move(query));
 }
 
 void Edge::perform(const CancelRequest& action) {
   running_.erase(action.request);
-  spool_.ended(action.request, spool::End::kInterrupted);
+  spool_.end_request(action.request, spool::EndReason::kInterrupted);
   coordinator_.client_gone(action.request);
 }
 
@@ -241,7 +241,8 @@
   Outcome outcome;
   if (answer.verdict != Verdict::kServed) {
     const bool refused = answer.verdict == Verdict::kRefused;
-    if (running.spooled) spool_.ended(id, refused ? spool::End::kRefused : spool::End::kFailed);
+    if (running.spooled)
+      spool_.end_request(id, refused ? spool::EndReason::kRefused : spool::EndReason::kFailed);
     outcome.status = refused ? Outcome::Status::kRefused : Outcome::Status::kFailed;
     outcome.retry_safe = refused || running.repeatable;
     outcome.retry_after = answer.retry_after;
@@ -271,12 +272,12 @@
     window.total_rows = window.rows;
     keep_inline(std::move(window));
   } else {
-    spool_.delivered(id, [&](const spool::Opened& opened) {
-      if (opened.how == spool::Opened::How::kHandle) {
+    spool_.complete(id, [&](const spool::Delivery& opened) {
+      if (opened.kind == spool::Delivery::Kind::kHandle) {
         result.handle = opened.handle;
         outcome.rows = opened.rows;
         outcome.bytes = opened.bytes;
-      } else if (opened.how == spool::Opened::How::kWhole) {
+      } else if (opened.kind == spool::Delivery::Kind::kWhole) {
         keep_inline(opened.window);
       } else {
         // The query ran, but the spool had no room for its rows.
--- a/src/edge/ledger/ledger_store.cpp
+++ b/src/edge/ledger/ledger_store.cpp
@@ -82,7 +82,7 @@
   incarnations.push_back({new_incarnation, now_unix_us});
   while (incarnations.size() > kMaxIncarnations) incarnations.erase(incarnations.begin());
   for (const json& entry : incarnations) recovery.incarnations.push_back(entry.at(0));
-  if (index_.commit({{kIncarnationsKey, to_bytes(incarnations)}}) != spool::Io::kGood) {
+  if (index_.commit({{kIncarnationsKey, to_bytes(incarnations)}}) != spool::IoStatus::kOk) {
     closed_ = true;
     recovery.usable = false;
   }
@@ -113,9 +113,9 @@
     }
     changes.push_back({index_key(r), to_bytes(value)});
   }
-  const spool::Io done = index_.commit(changes);
-  if (done == spool::Io::kFailed) closed_ = true;
-  return done == spool::Io::kGood;
+  const spool::IoStatus done = index_.commit(changes);
+  if (done == spool::IoStatus::kFailed) closed_ = true;
+  return done == spool::IoStatus::kOk;
 }
 
 LedgerWriter::LedgerWriter(Strand strand, std::unique_ptr<spool::Index> index,
--- a/src/edge/logic/edge_logic.cpp
+++ b/src/edge/logic/edge_logic.cpp
@@ -48,7 +48,7 @@
   settings_ = settings;
   admission_gate_.set_settings(settings.admission);
   const std::size_t tenants = std::max<std::size_t>(1, settings.tenants.size());
-  memory_.set(settings.memory, std::vector<double>(tenants, 1.0));
+  memory_.configure(settings.memory, std::vector<double>(tenants, 1.0));
   session_count_by_tenant_.resize(tenants);
 }
 
@@ -624,7 +624,7 @@
 
 void EdgeLogic::release_in_flight(Session& session, OutgoingMessage& message) {
   if (message.charged_bytes == 0) return;
-  memory_.give_back(static_cast<std::size_t>(session.tenant), message.charged_bytes);
+  memory_.release(static_cast<std::size_t>(session.tenant), message.charged_bytes);
   session.in_flight_bytes -= std::min(session.in_flight_bytes, message.charged_bytes);
   message.charged_bytes = 0;
 }
@@ -650,13 +650,13 @@
     // Rows are fetched just before they are sent, and again for a resend, so that none are buffered here.
     const std::uint32_t bytes = next->size_known ? next->bytes : session.page_sizer.bytes();
     if (session.in_flight_bytes > 0 && session.in_flight_bytes + bytes > settings_.window) return;
-    if (!memory_.take(static_cast<std::size_t>(session.tenant), bytes)) {
+    if (!memory_.try_charge(static_cast<std::size_t>(session.tenant), bytes)) {
       // A tenant with nothing in flight may always send one page.
       if (memory_.used(static_cast<std::size_t>(session.tenant)) > 0) {
         if (!std::exchange(session.awaiting_memory, true)) memory_waiters_.push_back(session.id);
         return;
       }
-      memory_.take_anyway(static_cast<std::size_t>(session.tenant), bytes);
+      memory_.force_charge(static_cast<std::size_t>(session.tenant), bytes);
     }
     next->charged_bytes = bytes;
     session.in_flight_bytes += bytes;
@@ -690,9 +690,9 @@
   const auto size = static_cast<std::uint32_t>(rows.text->size());
   // Adjusts the charge from the page size to the actual size: a row may be longer than a page.
   if (size < next->charged_bytes) {
-    memory_.give_back(static_cast<std::size_t>(session.tenant), next->charged_bytes - size);
+    memory_.release(static_cast<std::size_t>(session.tenant), next->charged_bytes - size);
   } else {
-    memory_.take_anyway(static_cast<std::size_t>(session.tenant), size - next->charged_bytes);
+    memory_.force_charge(static_cast<std::size_t>(session.tenant), size - next->charged_bytes);
   }
   session.in_flight_bytes = session.in_flight_bytes - next->charged_bytes + size;
   next->charged_bytes = size;
--- a/src/edge/logic/edge_logic.h
+++ b/src/edge/logic/edge_logic.h
@@ -44,7 +44,7 @@
   std::size_t max_open_requests{32};  // per session
   std::uint32_t window{128 << 10};    // bytes of rows in flight to one device
   std::uint32_t min_page_bytes{4 << 10}, max_page_bytes{64 << 10};
-  spool::Marks memory{32u << 20, 0.9, 0.7, 0.5};  // rows in flight to all devices
+  spool::BudgetSettings memory{32u << 20, 0.9, 0.7, 0.5};  // rows in flight to all devices
   AdmissionSettings admission;
   LedgerSettings ledger;
   bool operator==(const EdgeSettings&) const = default;
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -110,7 +110,7 @@
   bytes("page-most", "size of the rows in one message on the fastest connections", kKiB, 128 * kKiB, "64k",
         config.logic.max_page_bytes);
   bytes("memory", "maximum size of the rows in flight to all devices", kMiB, 16 * kGiB, "32m",
-        config.logic.memory.most);
+        config.logic.memory.max_bytes);
   count("rate", "devices admitted a second when many connect at once", 1, 1e6, "500",
         config.logic.admission.rate_per_second);
   count("burst", "devices admitted at once before the rate applies", 1, 1e6, "100",
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -54,7 +54,7 @@
   if (!fault.empty()) throw std::runtime_error(operator_conf_.path + ": " + fault);
   metrics_ = std::make_unique<Metrics>();
   apply_routes(resolve_routes(operator_conf_, config_.settings, config_.tables));
-  if (!operator_conf_.spool.on) return;
+  if (!operator_conf_.spool.enabled) return;
   std::vector<std::string> tenants;
   for (int i = 0; i < config_.tables.tenants.size(); ++i) tenants.push_back(config_.tables.tenants.name(i));
   spool_ = std::make_unique<spool::Spool>(strand_, log_, *metrics_, operator_conf_.spool, std::move(tenants),
@@ -78,10 +78,10 @@
 }
 
 FramedServer::Limits Server::reader_limits() const {
-  return {.max_sessions = operator_conf_.spool.sessions,
+  return {.max_sessions = operator_conf_.spool.max_sessions,
           .max_buffered_bytes = (config_.memory_mb << 20) / kClientBufferDivisor,
           .idle_timeout = std::max(operator_conf_.spool.logic.lease, Micros{kSettleMargin}),
-          .pause_threshold = operator_conf_.spool.unread_most};
+          .pause_threshold = operator_conf_.spool.max_unread_bytes};
 }
 
 void Server::start() {
@@ -221,7 +221,7 @@
   });
   // The connections of readers and devices and the spool's files are taken from the engines' share.
   const std::size_t spool_descriptors =
-      operator_conf_.spool.on ? operator_conf_.spool.sessions + kSpoolDescriptors : 0;
+      operator_conf_.spool.enabled ? operator_conf_.spool.max_sessions + kSpoolDescriptors : 0;
   const std::size_t edge_descriptors =
       operator_conf_.edge.enabled ? operator_conf_.edge.max_connections + kSpoolDescriptors : 0;
   limits.max_connections -= std::min(spool_descriptors + edge_descriptors, limits.max_connections - 1);
@@ -266,7 +266,7 @@
 }
 
 void Server::write_metrics() {
-  if (spool_) spool_->observe();
+  if (spool_) spool_->update_gauges();
   if (edge_) edge_->update_metrics();
   if (routes_) routes_->observe();
   if (!file_writer_) file_writer_ = std::make_unique<Worker>(1);
@@ -285,7 +285,7 @@
 void Server::end_when_written() {
   // Complete results that only this process holds wait for their readers, until their lease or time limit
   // ends.
-  const bool spool_done = !spool_ || (spool_->settled() && readers_->written_out());
+  const bool spool_done = !spool_ || (spool_->drained() && readers_->written_out());
   // Connected devices receive their answers; devices with a broken connection get them from the ledger
   // through the next process.
   const bool edge_done = !edge_ || (edge_->drained() && edge_fronts_->all_written()) ||
--- a/standins/edge_sim.cpp
+++ b/standins/edge_sim.cpp
@@ -30,7 +30,7 @@
     settings_.window = 8 << 10;
     settings_.min_page_bytes = 512;
     settings_.max_page_bytes = 4 << 10;
-    settings_.memory.most = 64 << 10;
+    settings_.memory.max_bytes = 64 << 10;
     settings_.admission.rate_per_second = 50;
     settings_.admission.burst = 4;
     settings_.ledger.durable = options.durable;
@@ -465,7 +465,7 @@
   void check_limits() {
     if (!edge_) return;
     // Each tenant may exceed the limit by one page, or it could not progress; rows may exceed a page.
-    const std::uint64_t max_bytes = settings_.memory.most + 2 * (settings_.max_page_bytes + 200);
+    const std::uint64_t max_bytes = settings_.memory.max_bytes + 2 * (settings_.max_page_bytes + 200);
     if (edge_->memory().used() > max_bytes)
       add_violation("memory: " + std::to_string(edge_->memory().used()) + " bytes in flight");
     if (edge_->session_count() >
--- a/tests/edge/logic_test.cpp
+++ b/tests/edge/logic_test.cpp
@@ -440,7 +440,7 @@
   EdgeSettings settings;
   settings.at_most_once = {{"report", false}};
   settings.admission.rate_per_second = settings.admission.burst = 1e6;
-  settings.memory.most = 8u << 20;
+  settings.memory.max_bytes = 8u << 20;
   settings.window = 64 << 10;
   settings.max_page_bytes = 32 << 10;
   EdgeLogic logic(settings, TokenSigner({}), {1}, 7, Micros{0}, 0);
@@ -492,8 +492,8 @@
     logic.on_frame(conn, ask, now, actions);
     carry_out();
   }
-  CHECK(peak <= settings.memory.most + settings.max_page_bytes);
-  CHECK(logic.memory().used() > settings.memory.most / 2);
+  CHECK(peak <= settings.memory.max_bytes + settings.max_page_bytes);
+  CHECK(logic.memory().used() > settings.memory.max_bytes / 2);
   // The devices acknowledge what they have, step by step: each of them gets its share of the budget.
   for (int round = 0; round < 400; ++round) {
     now += Micros{50'000};
@@ -506,7 +506,7 @@
       carry_out();
     }
   }
-  CHECK(peak <= settings.memory.most + settings.max_page_bytes);
+  CHECK(peak <= settings.memory.max_bytes + settings.max_page_bytes);
   std::uint64_t min_rows = kRows;
   for (ConnId conn = 1; conn <= kDevices; ++conn) min_rows = std::min(min_rows, got[conn]);
   CHECK(min_rows > 0);
--- a/tests/edge/story_test.cpp
+++ b/tests/edge/story_test.cpp
@@ -333,7 +333,7 @@
 TEST_CASE("edge: a load that cannot be recorded is refused and not run, while a lookup still runs") {
   auto disk = std::make_shared<FaultyDisk>();
   Site site(options_with_ledger_on(disk));
-  disk->fail_at(disk->operations() + 1, FaultyDisk::Fault::kNoSpace);
+  disk->fail_at(disk->operation_count() + 1, FaultyDisk::Fault::kNoSpace);
   DeviceFixture tablet(site, "tablet");
   tablet.client.connect();
   const auto first_load = tablet.client.send_request("load", "insert into lessons_3.hours", 9000);
@@ -345,7 +345,7 @@
   const auto second_load = tablet.client.send_request("load", "insert into lessons_3.hours", 9000);
   REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
   CHECK(tablet.request(second_load).outcome.status == OutcomeKind::kServed);
-  disk->fail_at(disk->operations() + 1, FaultyDisk::Fault::kEio);
+  disk->fail_at(disk->operation_count() + 1, FaultyDisk::Fault::kEio);
   for (int i = 0; i < 2; ++i) {
     const auto third_load = tablet.client.send_request("load", "insert into lessons_3.hours", 9000);
     REQUIRE(site.run_until([&] { return tablet.device.idle(); }));
@@ -360,7 +360,7 @@
 TEST_CASE("edge: an outcome that cannot be recorded is unknown, and the load is not run again") {
   auto disk = std::make_shared<FaultyDisk>();
   Site site(options_with_ledger_on(disk));
-  disk->fail_at(disk->operations() + 2, FaultyDisk::Fault::kNoSpace);
+  disk->fail_at(disk->operation_count() + 2, FaultyDisk::Fault::kNoSpace);
   DeviceFixture tablet(site, "tablet");
   tablet.client.connect();
   const auto key = tablet.client.send_request("load", "insert into lessons_3.hours", 9000);
