--- a/bench/spool_bench.cpp
+++ b/bench/spool_bench.cpp
@@ -35,7 +35,7 @@
   for (auto& at : due) at = 1000 + random(30'000'000);
   const double wheel = ns_each(n, rounds, [&] {
     TimingWheel timers(Micros{1000}, Micros{0});
-    std::vector<TimingWheel::Timer> set(n);
+    std::vector<TimingWheel::TimerId> set(n);
     std::size_t fired = 0;
     for (std::size_t i = 0; i < n; ++i) set[i] = timers.schedule(Micros{due[i]}, i);
     for (std::size_t i = 0; i < n; i += 2) timers.cancel(set[i]);
--- a/src/base/backoff.h
+++ b/src/base/backoff.h
@@ -1,5 +1,5 @@
-// Pauses between tries: exponential, with full jitter. What makes hundreds of coordinators lose the same peer
-// at the same moment must not make them all come back at the same moment.
+// Exponential backoff with full jitter. Hundreds of coordinators may lose the same peer at the same moment;
+// the jitter keeps them from reconnecting at the same moment.
 #pragma once
 
 #include <algorithm>
@@ -12,20 +12,20 @@
 class Backoff {
  public:
   using Micros = std::chrono::microseconds;
-  Backoff(std::uint64_t seed, Micros first, Micros most)
-      : random_(seed), first_(first), most_(most), reach_(first) {}
+  Backoff(std::uint64_t seed, Micros initial, Micros max)
+      : random_(seed), initial_(initial), max_(max), upper_bound_(initial) {}
 
-  // Anything up to a reach that doubles from try to try.
-  Micros next() {
-    const Micros pause{std::uniform_int_distribution<Micros::rep>(0, reach_.count())(random_)};
-    reach_ = std::min(most_, 2 * reach_);
-    return pause;
+  // A random delay between zero and an upper bound that doubles with each call, up to `max`.
+  Micros next_delay() {
+    const Micros delay{std::uniform_int_distribution<Micros::rep>(0, upper_bound_.count())(random_)};
+    upper_bound_ = std::min(max_, 2 * upper_bound_);
+    return delay;
   }
-  void reset() { reach_ = first_; }
+  void reset() { upper_bound_ = initial_; }
 
  private:
   std::mt19937_64 random_;
-  Micros first_, most_, reach_;
+  Micros initial_, max_, upper_bound_;
 };
 
 }  // namespace steprail
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -1,8 +1,8 @@
-// The program's log: one line an occasion, and the count of broken invariants.
+// The process log, one line per message or event, and the count of broken invariants.
 //
-// Lines go to a descriptor that may be a pipe which nobody reads: writing never blocks. What cannot leave
-// waits in a bounded store; what does not fit there is dropped, and the log says how many lines that were. To
-// be used from one thread.
+// The log is written to a file descriptor, which may be a pipe that nobody reads, so writing never blocks.
+// Lines that cannot be written yet are kept in a bounded buffer; lines that do not fit are dropped, and the
+// number of dropped lines is logged. Not thread-safe: use it from one thread.
 #pragma once
 
 #include <cassert>
@@ -16,12 +16,13 @@
 
 namespace steprail {
 
-enum class Level { kDebug, kInfo, kWarn, kError };
+enum class LogLevel { kDebug, kInfo, kWarn, kError };
 
 struct LogField {
   using Value = std::variant<std::string_view, std::int64_t, double>;
   template <typename T>
-  LogField(std::string_view n, const T& v) : name(n), value(convert(v)) {}
+  LogField(std::string_view field_name, const T& field_value)
+      : name(field_name), value(convert(field_value)) {}
   std::string_view name;
   Value value;
 
@@ -39,7 +40,7 @@
 };
 
 struct LogSettings {
-  Level least{Level::kInfo};
+  LogLevel min_level{LogLevel::kInfo};
   bool json{false};
   bool operator==(const LogSettings&) const = default;
 };
@@ -50,34 +51,36 @@
   ~EventLog();
   EventLog(const EventLog&) = delete;
   EventLog& operator=(const EventLog&) = delete;
-  void set(const LogSettings& settings);
+  void configure(const LogSettings& settings);
 
-  // A sentence, as on-call staff know it.
-  void line(std::string_view text);
-  // `name key=value ...`; values with blanks are quoted. In JSON, an object.
-  void event(Level level, std::string_view name, std::initializer_list<LogField> fields);
-  // Counts every broken invariant and logs the first ones: a fault in a loop must not fill the log.
-  void broken(const char* condition, const char* file, int line);
-  std::uint64_t broken_count() const { return broken_; }
-  std::uint64_t dropped_count() const;
-  // Writes what is waiting, as far as it can be taken.
+  // Logs a plain sentence. On-call staff search the log for these, so their first words are stable.
+  void message(std::string_view text);
+  // Logs `name key=value ...`, with values that contain blanks quoted, or an object in JSON format.
+  void event(LogLevel level, std::string_view name, std::initializer_list<LogField> fields);
+  // Counts every broken invariant but logs only the first ones, so that a failure in a loop cannot flood the
+  // log.
+  void record_broken_invariant(const char* condition, const char* file, int line);
+  std::uint64_t broken_invariant_count() const { return broken_invariants_; }
+  std::uint64_t dropped_line_count() const;
+  // Writes as many buffered lines as the descriptor accepts without blocking.
   void flush();
 
  private:
   class Sink;
-  void write(Level level, std::string_view text);
+  void write(LogLevel level, std::string_view text);
   struct Impl;
   std::unique_ptr<Impl> impl_;
   LogSettings settings_;
-  std::uint64_t broken_{0};
+  std::uint64_t broken_invariants_{0};
 };
 
 }  // namespace steprail
 
-// What must hold whatever peers do. A debug build stops there; a release build counts it and goes on serving.
+// Checks a condition that must hold whatever peers do. If it does not, a debug build aborts; a release build
+// counts and logs it and continues to serve.
 #ifdef NDEBUG
 #define STEPRAIL_INVARIANT(log, condition) \
-  ((condition) ? static_cast<void>(0) : (log).broken(#condition, __FILE__, __LINE__))
+  ((condition) ? static_cast<void>(0) : (log).record_broken_invariant(#condition, __FILE__, __LINE__))
 #else
 #define STEPRAIL_INVARIANT(log, condition) (static_cast<void>(log), assert(condition))
 #endif
--- a/src/base/metrics.cpp
+++ b/src/base/metrics.cpp
@@ -26,17 +26,19 @@
   return prometheus::BuildHistogram().Name(name).Help(help).Register(*registry_).Add(labels, bounds);
 }
 
-std::string Metrics::text() const { return prometheus::TextSerializer().Serialize(registry_->Collect()); }
+std::string Metrics::serialize() const {
+  return prometheus::TextSerializer().Serialize(registry_->Collect());
+}
 
 std::string replace_file(const std::string& path, const std::string& text) {
-  const std::string fresh = path + ".new";
+  const std::string temporary_path = path + ".new";
   {
-    std::ofstream out(fresh, std::ios::trunc);
+    std::ofstream out(temporary_path, std::ios::trunc);
     out << text;
     out.flush();
-    if (!out) return fresh + " cannot be written: " + std::strerror(errno);
+    if (!out) return temporary_path + " cannot be written: " + std::strerror(errno);
   }
-  if (std::rename(fresh.c_str(), path.c_str()) != 0)
+  if (std::rename(temporary_path.c_str(), path.c_str()) != 0)
     return path + " cannot be replaced: " + std::strerror(errno);
   return {};
 }
--- a/src/base/signals.h
+++ b/src/base/signals.h
@@ -1,6 +1,6 @@
-// Signals that come before anything handles them. Their default action ends the process: a restart and a new
-// configuration fall on the same second, and the program that was just started must neither die of one nor
-// lose it.
+// Defers signals that arrive before their handlers are installed. Their default action terminates the
+// process. A restart and a configuration reload can happen within the same second, and a process that has
+// just started must neither be killed by such a signal nor lose it.
 #pragma once
 
 #include <csignal>
@@ -8,7 +8,7 @@
 namespace steprail {
 
 namespace detail {
-inline sigset_t held_signals() {
+inline sigset_t deferred_signals() {
   sigset_t set;
   sigemptyset(&set);
   for (const int number : {SIGTERM, SIGINT, SIGHUP}) sigaddset(&set, number);
@@ -16,16 +16,17 @@
 }
 }  // namespace detail
 
-// They wait from here on. To be called before any thread begins.
-inline void hold_signals() {
-  const sigset_t set = detail::held_signals();
+// Keeps the deferred signals pending from now on, and ignores SIGPIPE. Call it before any thread starts:
+// threads inherit the signal mask.
+inline void block_signals() {
+  const sigset_t set = detail::deferred_signals();
   sigprocmask(SIG_BLOCK, &set, nullptr);
   std::signal(SIGPIPE, SIG_IGN);
 }
 
-// Those that waited are delivered now, to whatever handles them.
-inline void release_signals() {
-  const sigset_t set = detail::held_signals();
+// Delivers the pending signals to the handlers that are installed by now.
+inline void unblock_signals() {
+  const sigset_t set = detail::deferred_signals();
   sigprocmask(SIG_UNBLOCK, &set, nullptr);
 }
 
--- a/src/base/worker.h
+++ b/src/base/worker.h
@@ -1,5 +1,5 @@
-// One thread for slow work (disks), behind a bounded queue. The thread begins with the first job, so that
-// what is never used costs none.
+// A single worker thread with a bounded queue, for slow work such as disk access. The thread starts with the
+// first job, so that an unused worker costs no thread.
 #pragma once
 
 #include <condition_variable>
@@ -12,50 +12,50 @@
 
 class Worker {
  public:
-  explicit Worker(std::size_t most) : most_(most) {}
-  // Jobs that were taken are done before it ends.
+  explicit Worker(std::size_t max_jobs) : max_jobs_(max_jobs) {}
+  // Runs all queued jobs before the thread is joined.
   ~Worker() {
     {
-      const std::lock_guard hold(mutex_);
-      ending_ = true;
+      const std::lock_guard lock(mutex_);
+      stopping_ = true;
     }
-    work_.notify_one();
+    wakeup_.notify_one();
     if (thread_.joinable()) thread_.join();
   }
   Worker(const Worker&) = delete;
   Worker& operator=(const Worker&) = delete;
 
-  // Takes a job, to be run behind those before it; false where the queue is full.
+  // Appends a job to the queue. Returns false if the queue is full.
   bool post(std::function<void()> job) {
     {
-      const std::lock_guard hold(mutex_);
-      if (jobs_.size() >= most_) return false;
+      const std::lock_guard lock(mutex_);
+      if (jobs_.size() >= max_jobs_) return false;
       jobs_.push_back(std::move(job));
       if (!thread_.joinable()) thread_ = std::thread([this] { run(); });
     }
-    work_.notify_one();
+    wakeup_.notify_one();
     return true;
   }
 
  private:
   void run() {
-    std::unique_lock hold(mutex_);
+    std::unique_lock lock(mutex_);
     for (;;) {
-      work_.wait(hold, [this] { return ending_ || !jobs_.empty(); });
+      wakeup_.wait(lock, [this] { return stopping_ || !jobs_.empty(); });
       if (jobs_.empty()) return;
       const auto job = std::move(jobs_.front());
       jobs_.pop_front();
-      hold.unlock();
+      lock.unlock();
       job();
-      hold.lock();
+      lock.lock();
     }
   }
 
-  std::size_t most_;
+  std::size_t max_jobs_;
   std::mutex mutex_;
-  std::condition_variable work_;
+  std::condition_variable wakeup_;
   std::deque<std::function<void()>> jobs_;
-  bool ending_{false};
+  bool stopping_{false};
   std::thread thread_;
 };
 
--- a/src/commands/plan.cpp
+++ b/src/commands/plan.cpp
@@ -33,7 +33,7 @@
   const conf::Document document = read(traffic_path);
   const auto faults = schema.apply(document);
   if (!faults.empty())
-    throw std::runtime_error("traffic file cannot be used:\n" + conf::render(document, faults));
+    throw std::runtime_error("traffic file cannot be used:\n" + conf::render_diagnostics(document, faults));
   if (traffic.cores <= 0) throw std::runtime_error(traffic_path + ": a block 'engines' is missing");
 
   using Planner = void (*)(const routes::Traffic*, const Settings*, const Tables*, routes::Plan*);
@@ -52,7 +52,7 @@
   routes::register_routes(routes_schema, all);
   const conf::Document made = conf::parse("the plan", planned.file());
   const auto wrong_words = routes_schema.apply(made);
-  if (!wrong_words.empty()) throw std::runtime_error(conf::render(made, wrong_words));
+  if (!wrong_words.empty()) throw std::runtime_error(conf::render_diagnostics(made, wrong_words));
   std::vector<routes::Wrong> wrong;
   routes::checked(all, config.settings, config.tables, wrong);
   if (!wrong.empty()) {
--- a/src/conf/document.h
+++ b/src/conf/document.h
@@ -1,7 +1,8 @@
-// The operator's file as it is written: directives, their words, and blocks in braces, each with its place.
+// Syntax tree of the operator's configuration file: directives, their words and blocks in braces, each word
+// with its position.
 //
 //   spool {                    # a block
-//     memory 64m high 90%      # a directive and its words; text with blanks stands in "quotes"
+//     memory 64m high 90%      # a directive and its words; text with blanks is written in "quotes"
 //   }
 #pragma once
 
@@ -13,30 +14,31 @@
 
 struct Word {
   std::string text;
-  std::size_t line{}, column{};  // from 1
+  std::size_t line{}, column{};  // both start at 1
 };
 
 struct Node {
-  std::vector<Word> words;  // the first names the directive or the block
-  bool block{false};
-  std::vector<Node> inner;
+  std::vector<Word> words;  // the first is the name of the directive or block
+  bool is_block{false};
+  std::vector<Node> children;
 };
 
-struct Fault {
+struct Diagnostic {
   std::size_t line{}, column{}, length{1};
-  std::string text;
+  std::string message;
 };
 
 struct Document {
-  std::string name;  // of the file, for messages
+  std::string name;  // file name, for error messages
   std::vector<std::string> lines;
   std::vector<Node> nodes;
-  std::vector<Fault> faults;  // of the grammar; the lines without one are read all the same
+  std::vector<Diagnostic> diagnostics;  // syntax errors; lines without one are parsed nevertheless
 };
 
 Document parse(std::string name, std::string_view text);
 
-// The faults in the order of their places: file, line, column, what is wrong, the line, and a caret under it.
-std::string render(const Document& document, std::vector<Fault> faults);
+// Formats the diagnostics sorted by position: file, line, column and message, then the source line with a
+// caret below the word.
+std::string render_diagnostics(const Document& document, std::vector<Diagnostic> diagnostics);
 
 }  // namespace steprail::conf
--- a/src/core/coordinator.cpp
+++ b/src/core/coordinator.cpp
@@ -88,7 +88,7 @@
   arrival.group = q.group;
   arrival.resent = q.resent;
   if (routing_ != nullptr) routing_->arrived(q, arrival);
-  log_.event(Level::kDebug, "arrived",
+  log_.event(LogLevel::kDebug, "arrived",
              {{"id", q.name},
               {"class", q.class_name},
               {"group", q.group},
@@ -119,7 +119,7 @@
 void Coordinator::noted(Note note) {
   const auto at = open_.find(note.id);
   if (at != open_.end())
-    log_.event(Level::kDebug, "noted",
+    log_.event(LogLevel::kDebug, "noted",
                {{"id", at->second.query.name},
                 {"attempt", note.attempt},
                 {"engine", note.engine},
@@ -164,7 +164,7 @@
   closed.outcome = outcome;
   closed.delay = clock_.now() - open.sent;
   closed.report = report;
-  log_.event(Level::kDebug, "closed",
+  log_.event(LogLevel::kDebug, "closed",
              {{"id", open.query.name},
               {"attempt", closed.attempt},
               {"engine", closed.engine},
@@ -226,9 +226,9 @@
 void Coordinator::watch_lateness() {
   if (timeouts_.empty() || now_ - timeouts_.top().at < kLate || now_ < next_late_line_) return;
   next_late_line_ = now_ + kLateLines;
-  log_.line("late by " + std::to_string((now_ - timeouts_.top().at).count() / 1000) + " ms, " +
-            std::to_string(open_.size()) + " requests held, " + std::to_string(gathered_.size()) +
-            " events at once");
+  log_.message("late by " + std::to_string((now_ - timeouts_.top().at).count() / 1000) + " ms, " +
+               std::to_string(open_.size()) + " requests held, " + std::to_string(gathered_.size()) +
+               " events at once");
 }
 
 void Coordinator::expire() {
@@ -269,7 +269,7 @@
     if (at == open_.end()) return;
     if (!std::exchange(at->second.answered, true)) {
       --unanswered_;
-      log_.event(Level::kDebug, "client_gone", {{"id", at->second.query.name}});
+      log_.event(LogLevel::kDebug, "client_gone", {{"id", at->second.query.name}});
       if (routing_ != nullptr) routing_->left(gone->id, Routing::How::kGone);
     }
     forgotten = gone->id, may_forget = true;
@@ -291,7 +291,7 @@
   if (open.answered) return;
   open.answered = true;
   --unanswered_;
-  log_.event(Level::kDebug, "answered",
+  log_.event(LogLevel::kDebug, "answered",
              {{"id", open.query.name},
               {"verdict", kVerdicts[static_cast<std::size_t>(answer.verdict)]},
               {"reason", reason},
@@ -340,7 +340,7 @@
   if (send.patience.count() > 0) patience = std::min(patience, send.patience);
   open.out = Out::kOut;
   timeouts_.push({now_ + patience, Due::kAttempt, send.id, open.life, open.attempts - 1});
-  log_.event(Level::kDebug, "sent",
+  log_.event(LogLevel::kDebug, "sent",
              {{"id", open.query.name},
               {"attempt", open.attempts - 1},
               {"engine", send.engine},
@@ -377,6 +377,6 @@
 void Coordinator::carry_out(const Timer& timer) {
   timeouts_.push({timer.due, Due::kAlarm, timer.label, 0, 0});
 }
-void Coordinator::carry_out(const Log& text) { log_.line(text.text); }
+void Coordinator::carry_out(const Log& text) { log_.message(text.text); }
 
 }  // namespace steprail
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -83,12 +83,12 @@
     }
     ledger_ = std::make_unique<LedgerWriter>(
         strand, std::move(index), settings.tenants, [this](const Record& record, bool durable) {
-          if (!durable) log_.event(Level::kError, "edge-not-recorded", {{"fate", name(record.fate)}});
+          if (!durable) log_.event(LogLevel::kError, "edge-not-recorded", {{"fate", name(record.fate)}});
           logic_->recorded(record, durable, now(), acts_);
           run();
         });
     found = ledger_->recover(fresh, unix_now());
-    log_.event(found.usable && found.unreadable == 0 ? Level::kInfo : Level::kError, "edge-ledger",
+    log_.event(found.usable && found.unreadable == 0 ? LogLevel::kInfo : LogLevel::kError, "edge-ledger",
                {{"entries", found.records.size()},
                 {"unreadable", found.unreadable},
                 {"incarnations", found.incarnations.size()},
--- a/src/edge/fronts.cpp
+++ b/src/edge/fronts.cpp
@@ -475,7 +475,7 @@
     accepting_ = false;
     if (error == boost::asio::error::operation_aborted) return;
     if (error) {
-      log_.event(Level::kWarn, "edge-accept-failed", {{"cause", error.message()}});
+      log_.event(LogLevel::kWarn, "edge-accept-failed", {{"cause", error.message()}});
       pause_.expires_after(kAcceptPause);
       pause_.async_wait([this, alive](error_code e) {
         if (!e && *alive) accept();
--- a/src/edge/logic/edge_logic.cpp
+++ b/src/edge/logic/edge_logic.cpp
@@ -785,7 +785,7 @@
 }
 
 std::optional<Micros> EdgeLogic::next(Micros now) const {
-  std::optional<Micros> soonest = wheel_.next();
+  std::optional<Micros> soonest = wheel_.next_wakeup();
   for (const auto& other : {ledger_.next(), gate_.next(now)}) {
     if (other && (!soonest || *other < *soonest)) soonest = other;
   }
--- a/src/edge/logic/edge_logic.h
+++ b/src/edge/logic/edge_logic.h
@@ -163,13 +163,13 @@
     bool fetching{false}, starving{false}, polling{false};
     Micros heard{0}, ping_sent{0}, expires{0};
     std::uint64_t ping{0};
-    TimingWheel::Timer timer{TimingWheel::kNone};
+    TimingWheel::TimerId timer{TimingWheel::kNoTimer};
     explicit Session(Seq first, const EdgeSettings& s) : channel(first), page(s.page_least, s.page_most) {}
   };
   struct Conn {
     SessionId session{0};          // 0: it has not said who it is, or waits to come in
     std::unique_ptr<Frame> hello;  // while it waits: a frame is large, and an idle session has none
-    TimingWheel::Timer timer{TimingWheel::kNone};
+    TimingWheel::TimerId timer{TimingWheel::kNoTimer};
   };
   struct Ask {  // a request at the coordinator, or on its way there
     Key key;
--- a/src/edge/logic/ledger_logic.h
+++ b/src/edge/logic/ledger_logic.h
@@ -103,7 +103,7 @@
   const Outcome* told(const Key& key, bool durable);
 
   void advance(Micros now, std::int64_t now_unix_us, std::vector<Record>& out);
-  std::optional<Micros> next() const { return wheel_.next(); }
+  std::optional<Micros> next() const { return wheel_.next_wakeup(); }
   std::optional<Fate> fate(const Key& key) const;
   std::uint64_t request(const Key& key) const;
   std::uint64_t incarnation() const { return incarnations_.back(); }
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -6,46 +6,50 @@
 }
 
 void register_edge(conf::Schema& schema, EdgeConf& into) {
-  using Given = conf::Directive::Given;
+  using Given = conf::Directive::Parsed;
   conf::Block& block = schema.block(
       "edge",
       "Devices on poor links, over WebSocket and HTTP long poll: sessions outlive connections, and a load "
       "that is sent again gets its first outcome. Needs the block 'spool'.");
-  block.present([&into] { into.on = true; });
+  block.on_present([&into] { into.on = true; });
   const auto time = [&](const char* name, const char* help, double least, double most, const char* standard,
                         Micros& to) {
-    block.directive(name, help).time("TIME", least, most).standard(standard).take([&to](const Given& given) {
-      return to = Micros{given.whole(0)}, std::string();
-    });
+    block.directive(name, help)
+        .time("TIME", least, most)
+        .default_value(standard)
+        .on_parsed([&to](const Given& given) { return to = Micros{given.integer(0)}, std::string(); });
   };
   const auto count = [&](const char* name, const char* help, double least, double most, const char* standard,
                          auto& to) {
     block.directive(name, help)
         .count("COUNT", least, most)
-        .standard(standard)
-        .take([&to](const Given& given) {
-          return to = static_cast<std::remove_reference_t<decltype(to)>>(given.whole(0)), std::string();
+        .default_value(standard)
+        .on_parsed([&to](const Given& given) {
+          return to = static_cast<std::remove_reference_t<decltype(to)>>(given.integer(0)), std::string();
         });
   };
   const auto bytes = [&](const char* name, const char* help, double least, double most, const char* standard,
                          auto& to) {
-    block.directive(name, help).bytes("SIZE", least, most).standard(standard).take([&to](const Given& given) {
-      return to = static_cast<std::remove_reference_t<decltype(to)>>(given.whole(0)), std::string();
-    });
+    block.directive(name, help)
+        .bytes("SIZE", least, most)
+        .default_value(standard)
+        .on_parsed([&to](const Given& given) {
+          return to = static_cast<std::remove_reference_t<decltype(to)>>(given.integer(0)), std::string();
+        });
   };
   block.directive("listen", "where devices connect")
       .address("ADDRESS")
       .required()
-      .take([&into](const Given& given) { return into.listen = given.text(0), std::string(); });
+      .on_parsed([&into](const Given& given) { return into.listen = given.text(0), std::string(); });
   block.directive("home", "this coordinator's name in its devices' tokens; every one has its own")
       .text("NAME")
       .required()
-      .take([&into](const Given& given) { return into.logic.home = given.text(0), std::string(); });
+      .on_parsed([&into](const Given& given) { return into.logic.home = given.text(0), std::string(); });
   block.directive("other", "another home, and where its devices reach it")
       .text("NAME")
       .text("ADDRESS")
       .repeated()
-      .take([&into](const Given& given) {
+      .on_parsed([&into](const Given& given) {
         return into.logic.homes.emplace(given.text(0), given.text(1)).second
                    ? std::string()
                    : "home '" + given.text(0) + "' is given twice";
@@ -56,23 +60,24 @@
                  "it is answered 'unknown'")
       .text("NAME")
       .repeated()
-      .take([&into](const Given& given) { return into.logic.gone.insert(given.text(0)), std::string(); });
+      .on_parsed(
+          [&into](const Given& given) { return into.logic.gone.insert(given.text(0)), std::string(); });
   block
       .directive("secret",
                  "a file of 32 bytes or more that all homes share; without it tokens hold for this process")
       .path("FILE")
-      .standard("one of this process's own")
-      .take([&into](const Given& given) { return into.secret_file = given.text(0), std::string(); });
+      .default_value("one of this process's own")
+      .on_parsed([&into](const Given& given) { return into.secret_file = given.text(0), std::string(); });
   block
       .directive("ledger",
                  "a folder for the outcomes of loads, and the size it may grow to; without it they are in "
                  "memory, and after a restart 'unknown'")
       .path("FOLDER")
       .bytes("SIZE", kM, 64 * kG)
-      .standard("in memory")
-      .take([&into](const Given& given) {
+      .default_value("in memory")
+      .on_parsed([&into](const Given& given) {
         into.ledger_folder = given.text(0);
-        into.ledger_most = static_cast<std::uint64_t>(given.whole(1));
+        into.ledger_most = static_cast<std::uint64_t>(given.integer(1));
         into.logic.ledger.durable = true;
         return std::string();
       });
@@ -101,7 +106,7 @@
   time("heartbeat-least", "between heartbeats, on the fastest links", kSecond / 10, 60 * kSecond, "2s",
        into.logic.heartbeat_least);
   time("heartbeat-most", "on the slowest", kSecond / 5, 600 * kSecond, "30s", into.logic.heartbeat_most);
-  using Wrong = conf::Block::Wrong;
+  using Wrong = conf::Block::Violation;
   block.rule([&into]() -> Wrong {
     if (into.logic.page_least <= into.logic.page_most) return {};
     return {"page-least", "the least page is larger than the most"};
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,7 +9,7 @@
 
 int main(int argc, char** argv) {
   using namespace steprail;
-  hold_signals();
+  block_signals();
   CLI::App app{"steprail: a coordinator in front of query engines"};
   app.require_subcommand(1);
   std::string path, own, word;
@@ -40,7 +40,7 @@
   CLI::App* version = app.add_subcommand("version", "print the version");
   CLI11_PARSE(app, argc, argv);
   // The other commands are ended by what ends any command; serving takes its signals once it has handlers.
-  if (!*serve) release_signals();
+  if (!*serve) unblock_signals();
   try {
     if (*version) std::cout << "steprail " STEPRAIL_VERSION "\n";
     if (*help) {
--- a/src/net/directory.cpp
+++ b/src/net/directory.cpp
@@ -51,7 +51,7 @@
     for (const json& event : known.at("updates")) apply(event, last_ == 0);
     last_ = std::max(last_, known.at("index").get<std::int64_t>());
   } catch (const std::exception& fault) {
-    log_.line("the saved list cannot be read behind event " + std::to_string(last_) + ": " + fault.what());
+    log_.message("the saved list cannot be read behind event " + std::to_string(last_) + ": " + fault.what());
   }
 }
 
@@ -92,12 +92,12 @@
 
 void Directory::again(const std::string& why) {
   if (!std::exchange(failing_, true))
-    log_.line("directory lost, followed anew from " + std::to_string(last_) + ": " + why);
+    log_.message("directory lost, followed anew from " + std::to_string(last_) + ": " + why);
   ++life_;
   error_code ignored;
   socket_.close(ignored);
   silence_.cancel();
-  pause_.expires_after(backoff_.next());
+  pause_.expires_after(backoff_.next_delay());
   pause_.async_wait([this](error_code error) {
     if (!error) follow();
   });
@@ -106,7 +106,7 @@
 void Directory::move_to(const tcp::endpoint& source) {
   if (source == source_) return;
   source_ = source;
-  log_.line("directory moves to " + source.address().to_string() + ':' + std::to_string(source.port()));
+  log_.message("directory moves to " + source.address().to_string() + ':' + std::to_string(source.port()));
   error_code ignored;
   socket_.close(ignored);
   pause_.cancel();
@@ -133,8 +133,8 @@
         again(std::string("bad line: ") + fault.what());
         return false;
       }
-      log_.line("line of the directory passed over behind event " + std::to_string(last_) + ": " +
-                fault.what());
+      log_.message("line of the directory passed over behind event " + std::to_string(last_) + ": " +
+                   fault.what());
     }
     in_.consume(end + 1);
   }
@@ -159,7 +159,7 @@
   }
   bad_ = 0;
   backoff_.reset();
-  if (std::exchange(failing_, false)) log_.line("directory followed again, at " + std::to_string(last_));
+  if (std::exchange(failing_, false)) log_.message("directory followed again, at " + std::to_string(last_));
 }
 
 // Throws where the row cannot be understood.
@@ -220,19 +220,19 @@
       const EngineChange& was = known.change;
       if (was.name != read.change.name || was.address != read.change.address ||
           was.standing != read.change.standing || was.came_up != read.change.came_up)
-        log_.line("engine " + std::to_string(read.entry.engine) + " is " + read.change.name + " at " +
-                  read.change.address + ", " + row.at("status").get<std::string>());
+        log_.message("engine " + std::to_string(read.entry.engine) + " is " + read.change.name + " at " +
+                     read.change.address + ", " + row.at("status").get<std::string>());
       known = read;
       entries.push_back(read.entry);
       changes.push_back(std::move(read.change));
     } catch (const std::exception& fault) {
       if (++left_out <= kLeftOutLines)
-        log_.line("a row of event " + std::to_string(index) + " is left out: " + fault.what());
+        log_.message("a row of event " + std::to_string(index) + " is left out: " + fault.what());
     }
   }
   if (left_out > kLeftOutLines)
-    log_.line("rows of event " + std::to_string(index) +
-              " left out besides: " + std::to_string(left_out - kLeftOutLines));
+    log_.message("rows of event " + std::to_string(index) +
+                 " left out besides: " + std::to_string(left_out - kLeftOutLines));
   // What a whole list does not hold is gone.
   for (const auto& [name, engine] : tables_.engines.known()) {
     if (!whole || named.contains(engine)) continue;
--- a/src/net/engine_pool.cpp
+++ b/src/net/engine_pool.cpp
@@ -102,7 +102,7 @@
     slot.result_most = slot.sink != nullptr ? dispatch.query.result_most : kResultMost;
     slot.alone = pool_.runs_once(dispatch.query);
     pool_.log_.event(
-        Level::kDebug, "queued",
+        LogLevel::kDebug, "queued",
         {{"id", slot.name}, {"attempt", slot.attempt}, {"engine", engine_}, {"connection", number_}});
     slots_.emplace(dispatch.query.id, std::move(slot));
     out_.push(serve_command(dispatch), last_tag_);
@@ -195,9 +195,9 @@
     if (std::exchange(closed_, true)) return;
     const auto self = shared_from_this();
     if (!reason.empty() && (live() > 0 || !up_))
-      pool_.log_.line("engine " + std::to_string(engine_) + ": connection lost with " +
-                      std::to_string(live()) + " attempts: " + reason);
-    pool_.log_.event(Level::kDebug, "connection_closed",
+      pool_.log_.message("engine " + std::to_string(engine_) + ": connection lost with " +
+                         std::to_string(live()) + " attempts: " + reason);
+    pool_.log_.event(LogLevel::kDebug, "connection_closed",
                      {{"connection", number_},
                       {"engine", engine_},
                       {"attempts", live()},
@@ -354,7 +354,7 @@
   // It belongs to no attempt that is out.
   void passed_over(const EngineAnswer& answer) {
     pool_.log_.event(
-        Level::kDebug, "passed_over",
+        LogLevel::kDebug, "passed_over",
         {{"id", answer.id}, {"word", name_of(answer.word)}, {"engine", engine_}, {"connection", number_}});
   }
 
@@ -484,7 +484,7 @@
   if (moved) {
     engine.address = change.address;
     engine.endpoint = parse_address(change.address);
-    if (!engine.endpoint) log_.line("engine " + engine.name + " has no usable address: " + engine.address);
+    if (!engine.endpoint) log_.message("engine " + engine.name + " has no usable address: " + engine.address);
   }
   engine.came_up = change.came_up;
 }
--- a/src/net/framed.cpp
+++ b/src/net/framed.cpp
@@ -195,7 +195,7 @@
     if (error == boost::asio::error::operation_aborted) return;
     if (error) {
       // Out of descriptors, most likely; trying again at once would only spin.
-      log_.line("accept failed: " + error.message());
+      log_.message("accept failed: " + error.message());
       pause_.expires_after(kAcceptPause);
       pause_.async_wait([this](error_code e) {
         if (!e) accept();
@@ -221,7 +221,7 @@
 // Clients that misbehave do so by the hundred: the log gets a few of each moment, and how many more there
 // were.
 void FramedServer::told_off(const char* reason) {
-  if (++closed_since_ <= kClosedLines) log_.line("client connection closed: " + std::string(reason));
+  if (++closed_since_ <= kClosedLines) log_.message("client connection closed: " + std::string(reason));
 }
 
 bool FramedServer::make_room() {
@@ -253,7 +253,7 @@
     log_.flush();
     const Micros now = coordinator_.now();
     if (closed_since_ > kClosedLines)
-      log_.line("client connections closed besides: " + std::to_string(closed_since_ - kClosedLines));
+      log_.message("client connections closed besides: " + std::to_string(closed_since_ - kClosedLines));
     closed_since_ = 0;
     const auto sessions = sessions_;
     for (const auto& [_, session] : sessions) session->sweep(now);
--- a/src/operator.cpp
+++ b/src/operator.cpp
@@ -8,30 +8,31 @@
 
 namespace steprail {
 
-using Given = conf::Directive::Given;
+using Given = conf::Directive::Parsed;
 
 void register_all(conf::Schema& schema, OperatorConf& into) {
   conf::Block& log = schema.block("log", "The log on standard error.");
   log.directive("format", "lines of words, or one JSON object a line")
       .choice({"text", "json"})
-      .standard("text")
-      .take([&into](const Given& given) { return into.log.json = given.text(0) == "json", std::string(); });
+      .default_value("text")
+      .on_parsed(
+          [&into](const Given& given) { return into.log.json = given.text(0) == "json", std::string(); });
   log.directive("level", "what is left out below")
       .choice({"debug", "info", "warn", "error"})
-      .standard("info")
-      .take([&into](const Given& given) {
+      .default_value("info")
+      .on_parsed([&into](const Given& given) {
         const std::string& word = given.text(0);
-        into.log.least = word == "debug"  ? Level::kDebug
-                         : word == "info" ? Level::kInfo
-                         : word == "warn" ? Level::kWarn
-                                          : Level::kError;
+        into.log.min_level = word == "debug"  ? LogLevel::kDebug
+                             : word == "info" ? LogLevel::kInfo
+                             : word == "warn" ? LogLevel::kWarn
+                                              : LogLevel::kError;
         return std::string();
       });
   conf::Block& metrics = schema.block("metrics", "Counters and gauges, in the text exposition format.");
   metrics.directive("file", "replaced as a whole at SIGUSR1")
       .path("FILE")
       .required()
-      .take([&into](const Given& given) { return into.metrics_file = given.text(0), std::string(); });
+      .on_parsed([&into](const Given& given) { return into.metrics_file = given.text(0), std::string(); });
   spool::register_spool(schema, into.spool);
   edge::register_edge(schema, into.edge);
   routes::register_routes(schema, into.routes);
@@ -39,9 +40,9 @@
 
 namespace {
 
-void reject(const conf::Document& document, const std::vector<conf::Fault>& faults) {
+void reject(const conf::Document& document, const std::vector<conf::Diagnostic>& faults) {
   if (faults.empty()) return;
-  std::string told = conf::render(document, faults);
+  std::string told = conf::render_diagnostics(document, faults);
   told.pop_back();
   throw std::runtime_error("operator's file cannot be used:\n" + told);
 }
@@ -65,7 +66,7 @@
 routes::RouteSet routes_of(const OperatorConf& conf, const Settings& settings, const Tables& tables) {
   std::vector<routes::Wrong> wrong;
   routes::RouteSet set = routes::checked(conf.routes, settings, tables, wrong);
-  std::vector<conf::Fault> faults;
+  std::vector<conf::Diagnostic> faults;
   for (const routes::Wrong& one : wrong) {
     // The whole directive is shown.
     const std::string& line = conf.document.lines.at(one.line - 1);
--- a/src/routes/routes.cpp
+++ b/src/routes/routes.cpp
@@ -27,7 +27,7 @@
 void Routes::reconfigure(RouteSet set) {
   logic_.reconfigure(std::move(set), weights(), coordinator_.now());
   coordinator_.routes(logic_.news());
-  log_.event(Level::kInfo, "routes-taken",
+  log_.event(LogLevel::kInfo, "routes-taken",
              {{"routes", logic_.set().routes.size()}, {"pools", logic_.set().pools.size()}});
 }
 
@@ -73,7 +73,7 @@
     const auto standing = logic_.standing(route.name);
     entered += static_cast<double>(standing->entered);
     turned += static_cast<double>(standing->turned);
-    log_.event(Level::kInfo, "route",
+    log_.event(LogLevel::kInfo, "route",
                {{"name", route.name},
                 {"open", standing->out},
                 {"limit", static_cast<std::int64_t>(standing->limit)},
--- a/src/routes/settings.cpp
+++ b/src/routes/settings.cpp
@@ -4,7 +4,7 @@
 
 namespace steprail::routes {
 namespace {
-using Given = conf::Directive::Given;
+using Given = conf::Directive::Parsed;
 constexpr double kMs = 1e3, kSecond = 1e6, kMinute = 60 * kSecond;
 }  // namespace
 
@@ -20,8 +20,8 @@
   pool.directive("zone", "engines of this zone; several are given one a line")
       .text("NAME")
       .repeated()
-      .standard("any")
-      .take([last_pool](const Given& given) {
+      .default_value("any")
+      .on_parsed([last_pool](const Given& given) {
         last_pool().zones.push_back(given.text(0));
         last_pool().zone_line = given.line;
         return std::string();
@@ -29,25 +29,25 @@
   pool.directive("kind", "engines of this kind; several are given one a line")
       .text("NAME")
       .repeated()
-      .standard("any")
-      .take([last_pool](const Given& given) {
+      .default_value("any")
+      .on_parsed([last_pool](const Given& given) {
         last_pool().kinds.push_back(given.text(0));
         last_pool().kind_line = given.line;
         return std::string();
       });
   pool.directive("engines", "engines whose name fits: * is any run of characters, ? is one")
       .text("PATTERN")
-      .standard("*")
-      .take([last_pool](const Given& given) {
+      .default_value("*")
+      .on_parsed([last_pool](const Given& given) {
         return last_pool().pool.pattern = given.text(0), std::string();
       });
   pool.directive("slow-start",
                  "after the pool was empty its limits grow to their full size in this time, from a part")
       .time("TIME", 0, 60 * kMinute)
       .percent("FROM", 0.01, 1)
-      .standard("none")
-      .take([last_pool](const Given& given) {
-        last_pool().pool.slow_start = Micros{given.whole(0)};
+      .default_value("none")
+      .on_parsed([last_pool](const Given& given) {
+        last_pool().pool.slow_start = Micros{given.integer(0)};
         last_pool().pool.slow_from = given.real(1);
         last_pool().start_line = given.line;
         return std::string();
@@ -65,34 +65,37 @@
   });
   route.directive("class", "requests of this class")
       .text("NAME")
-      .standard("any")
-      .take([last](const Given& given) {
+      .default_value("any")
+      .on_parsed([last](const Given& given) {
         last().cls = given.text(0);
         last().cls_line = given.line;
         return std::string();
       });
-  route.directive("tenant", "of this tenant").text("NAME").standard("any").take([last](const Given& given) {
-    last().tenant = given.text(0);
-    last().tenant_line = given.line;
-    return std::string();
-  });
+  route.directive("tenant", "of this tenant")
+      .text("NAME")
+      .default_value("any")
+      .on_parsed([last](const Given& given) {
+        last().tenant = given.text(0);
+        last().tenant_line = given.line;
+        return std::string();
+      });
   route.directive("group", "of this group of tables")
       .count("NUMBER", 0, 1e9)
-      .standard("any")
-      .take([last](const Given& given) {
-        return last().route.match.group = static_cast<int>(given.whole(0)), std::string();
+      .default_value("any")
+      .on_parsed([last](const Given& given) {
+        return last().route.match.group = static_cast<int>(given.integer(0)), std::string();
       });
   route.directive("front", "that came in by this front")
       .choice({"platform", "spool", "edge"})
-      .standard("any")
-      .take([last](const Given& given) { return last().front = given.text(0), std::string(); });
+      .default_value("any")
+      .on_parsed([last](const Given& given) { return last().front = given.text(0), std::string(); });
   const auto range = [&](const char* name, const char* help, Range Match::*member) {
     route.directive(name, help)
         .count("FROM", 0, 1e9)
         .count("BELOW", 0, 1e9)
-        .standard("any")
-        .take([last, member](const Given& given) {
-          const Range wanted{static_cast<double>(given.whole(0)), static_cast<double>(given.whole(1))};
+        .default_value("any")
+        .on_parsed([last, member](const Given& given) {
+          const Range wanted{static_cast<double>(given.integer(0)), static_cast<double>(given.integer(1))};
           if (wanted.empty()) return std::string("no figure is at least FROM and below BELOW");
           last().route.match.*member = wanted;
           return std::string();
@@ -102,9 +105,9 @@
   range("memory", "whose estimated memory, in MB, lies from FROM on and below BELOW", &Match::memory_mb);
   route.directive("attempts", "attempts in all")
       .count("COUNT", 1, 16)
-      .standard("as the platform allows")
-      .take([last](const Given& given) {
-        last().route.terms.attempts = static_cast<int>(given.whole(0));
+      .default_value("as the platform allows")
+      .on_parsed([last](const Given& given) {
+        last().route.terms.attempts = static_cast<int>(given.integer(0));
         last().attempts_line = given.line;
         return std::string();
       });
@@ -113,18 +116,18 @@
                  "how long an attempt may be out; one line an attempt, the last one for all further ones")
       .time("TIME", 10 * kMs, 60 * kMinute)
       .repeated()
-      .standard("the module's own")
-      .take([last](const Given& given) {
-        last().route.terms.patience.push_back(Micros{given.whole(0)});
+      .default_value("the module's own")
+      .on_parsed([last](const Given& given) {
+        last().route.terms.patience.push_back(Micros{given.integer(0)});
         last().patience_line = given.line;
         return std::string();
       });
   route.directive("pause", "before a further attempt, give or take a part of it")
       .time("TIME", 0, 10 * kMinute)
-      .option({"jitter", conf::Kind::kPercent, 0, 1})
-      .standard("none")
-      .take([last](const Given& given) {
-        last().route.terms.pause = Micros{given.whole(0)};
+      .option({"jitter", conf::ValueKind::kPercent, 0, 1})
+      .default_value("none")
+      .on_parsed([last](const Given& given) {
+        last().route.terms.pause = Micros{given.integer(0)};
         last().route.terms.jitter = given.option("jitter", 0);
         last().pause_line = given.line;
         return std::string();
@@ -133,26 +136,26 @@
       .directive("move-after",
                  "an attempt that may run again leaves its engine for another one after this time")
       .time("TIME", 100 * kMs, 60 * kMinute)
-      .standard("as the module sees fit")
-      .take([last](const Given& given) {
-        return last().route.terms.move_after = Micros{given.whole(0)}, std::string();
+      .default_value("as the module sees fit")
+      .on_parsed([last](const Given& given) {
+        return last().route.terms.move_after = Micros{given.integer(0)}, std::string();
       });
   route
       .directive(
           "copy-after",
           "a later copy of an attempt; checked against the rule on two attempts at once, but not sent yet")
       .time("TIME", 10 * kMs, 60 * kMinute)
-      .standard("none")
-      .take([last](const Given& given) {
-        last().route.terms.copy_after = Micros{given.whole(0)};
+      .default_value("none")
+      .on_parsed([last](const Given& given) {
+        last().route.terms.copy_after = Micros{given.integer(0)};
         last().copy_line = given.line;
         return std::string();
       });
   route.directive("ration", "further attempts for each first one, and so many ahead of that")
       .percent("PERCENT", 0, 10)
-      .option({"burst", conf::Kind::kPercent, 0, 1000})
-      .standard("the platform's, for all together")
-      .take([last](const Given& given) {
+      .option({"burst", conf::ValueKind::kPercent, 0, 1000})
+      .default_value("the platform's, for all together")
+      .on_parsed([last](const Given& given) {
         last().route.terms.ration = given.real(0);
         last().route.terms.ration_burst = given.option("burst", 4);
         last().ration_line = given.line;
@@ -161,20 +164,20 @@
   route.directive("limit", "requests open at a time: begins at LEAST and follows measured delay up to MOST")
       .count("LEAST", 1, 1e6)
       .count("MOST", 1, 1e6)
-      .standard("none")
-      .take([last](const Given& given) {
-        if (given.whole(0) > given.whole(1)) return std::string("LEAST is more than MOST");
-        last().route.terms.limit_least = static_cast<int>(given.whole(0));
-        last().route.terms.limit_most = static_cast<int>(given.whole(1));
+      .default_value("none")
+      .on_parsed([last](const Given& given) {
+        if (given.integer(0) > given.integer(1)) return std::string("LEAST is more than MOST");
+        last().route.terms.limit_least = static_cast<int>(given.integer(0));
+        last().route.terms.limit_most = static_cast<int>(given.integer(1));
         return std::string();
       });
   route.directive("rate", "requests a second, and so many at once before that holds")
       .count("RATE", 1, 1e6)
       .count("BURST", 1, 1e6)
-      .standard("none")
-      .take([last](const Given& given) {
-        last().route.terms.rate = static_cast<double>(given.whole(0));
-        last().route.terms.rate_burst = static_cast<double>(given.whole(1));
+      .default_value("none")
+      .on_parsed([last](const Given& given) {
+        last().route.terms.rate = static_cast<double>(given.integer(0));
+        last().route.terms.rate_burst = static_cast<double>(given.integer(1));
         return std::string();
       });
   route
@@ -182,21 +185,21 @@
           "grant",
           "memory for each attempt, in MB, where engines heed it; never more than an engine gives one query")
       .count("MB", 1, 1e6)
-      .standard("the module's own")
-      .take([last](const Given& given) {
-        return last().route.terms.memory_mb = static_cast<double>(given.whole(0)), std::string();
+      .default_value("the module's own")
+      .on_parsed([last](const Given& given) {
+        return last().route.terms.memory_mb = static_cast<double>(given.integer(0)), std::string();
       });
   // The lowest one is nobody's: it would starve for as long as the cores are short.
   route.directive("priority", "of its attempts, where engines heed it")
       .count("RANK", 1, 3)
-      .standard("the module's own")
-      .take([last](const Given& given) {
-        return last().route.terms.priority = static_cast<int>(given.whole(0)), std::string();
+      .default_value("the module's own")
+      .on_parsed([last](const Given& given) {
+        return last().route.terms.priority = static_cast<int>(given.integer(0)), std::string();
       });
   route.directive("pool", "its engines")
       .text("NAME")
-      .standard("every engine")
-      .take([last](const Given& given) {
+      .default_value("every engine")
+      .on_parsed([last](const Given& given) {
         last().route.terms.pool = given.text(0);
         last().pool_line = given.line;
         return std::string();
@@ -211,7 +214,7 @@
     if (at >= 0) return at;
     std::vector<std::string> known;
     for (const auto& [one, _] : names.known()) known.push_back(one);
-    const std::string near = conf::nearest(name, known);
+    const std::string near = conf::nearest_word(name, known);
     wrong.push_back({line, std::string("no ") + what + " is named '" + name + "'" +
                                (near.empty() ? "" : "; did you mean '" + near + "'?")});
     return -1;
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -48,7 +48,7 @@
 
 void Server::start_parts(spool::Substitutes substitutes, std::unique_ptr<spool::Index> ledger) {
   if (conf_.path.empty()) return;
-  log_.set(conf_.log);
+  log_.configure(conf_.log);
   const std::string fault = misfit(conf_, config_.memory_mb, config_.sockets);
   if (!fault.empty()) throw std::runtime_error(conf_.path + ": " + fault);
   metrics_ = std::make_unique<Metrics>();
@@ -88,7 +88,7 @@
   signals_.add(SIGHUP);
   if (!conf_.metrics_file.empty()) signals_.add(SIGUSR1);
   await_signal();
-  release_signals();
+  unblock_signals();
   coordinator_.start();
   directory_.load(config_.known);
   directory_.follow();
@@ -99,7 +99,7 @@
     readers_->set_ready(true);
     const std::string address =
         reader_endpoint_.address().to_string() + ':' + std::to_string(reader_endpoint_.port());
-    log_.event(Level::kInfo, "spool-listening", {{"address", address}});
+    log_.event(LogLevel::kInfo, "spool-listening", {{"address", address}});
   }
   if (edge_fronts_) {
     const auto at = parse_address(conf_.edge.listen);
@@ -107,7 +107,7 @@
     edge_endpoint_ = edge_fronts_->listen(*at);
     const std::string address =
         edge_endpoint_.address().to_string() + ':' + std::to_string(edge_endpoint_.port());
-    log_.event(Level::kInfo, "edge-listening", {{"address", address}, {"home", conf_.edge.logic.home}});
+    log_.event(LogLevel::kInfo, "edge-listening", {{"address", address}, {"home", conf_.edge.logic.home}});
   }
   listen_until_ = std::chrono::steady_clock::now() + kListenMost;
   open_front();
@@ -122,14 +122,14 @@
   if (!error) {
     endpoint_ = at;
     front_.set_ready(true);
-    return log_.line("serving as " + config_.name);
+    return log_.message("serving as " + config_.name);
   }
   const std::string address =
       config_.listen.address().to_string() + ':' + std::to_string(config_.listen.port());
   if (error != boost::asio::error::address_in_use || std::chrono::steady_clock::now() >= listen_until_)
     throw std::runtime_error("cannot listen at " + address + ": " + error.message());
   if (!std::exchange(told_held_, true))
-    log_.line("the address " + address + " is held by another process, waiting");
+    log_.message("the address " + address + " is held by another process, waiting");
   grace_.expires_after(kListenPause);
   grace_.async_wait([this](boost::system::error_code e) {
     if (!e) open_front();
@@ -163,11 +163,11 @@
     }
     if (!fault.empty()) throw std::runtime_error(conf_.path + ": " + fault);
     routes::RouteSet set = routes_of(conf, config_.settings, config_.tables);
-    log_.line("configuration read again");
+    log_.message("configuration read again");
     directory_.move_to(fresh.directory);
     if (conf_.path.empty()) return;
     conf_ = std::move(conf);
-    log_.set(conf_.log);
+    log_.configure(conf_.log);
     take_routes(std::move(set));
     if (spool_) {
       spool_->reconfigure(conf_.spool);
@@ -178,7 +178,7 @@
       edge_fronts_->set_limits(edge_limits());
     }
   } catch (const std::exception& fault) {
-    log_.line(std::string("configuration kept as it was: ") + fault.what());
+    log_.message(std::string("configuration kept as it was: ") + fault.what());
   }
 }
 
@@ -215,7 +215,7 @@
 
 void Server::stop() {
   if (std::exchange(stopping_, true)) return;
-  log_.line("stopping, " + std::to_string(coordinator_.unanswered()) + " requests open");
+  log_.message("stopping, " + std::to_string(coordinator_.unanswered()) + " requests open");
   front_.set_ready(false);
   if (readers_) readers_->set_ready(false);
   if (edge_) edge_->drain();
@@ -224,8 +224,8 @@
     last_call_.expires_after(kGrace + std::min<Micros>(longest_request(), kKilledAfter) - kLastAnswers);
     last_call_.async_wait([this](boost::system::error_code error) {
       if (error || coordinator_.unanswered() == 0) return;
-      log_.line("answering " + std::to_string(coordinator_.unanswered()) +
-                " requests that cannot end any more");
+      log_.message("answering " + std::to_string(coordinator_.unanswered()) +
+                   " requests that cannot end any more");
       coordinator_.answer_all();
     });
   }
@@ -253,15 +253,15 @@
   if (edge_) edge_->observe();
   if (routes_) routes_->observe();
   if (!errands_) errands_ = std::make_unique<Worker>(1);
-  const bool taken = errands_->post([this, path = conf_.metrics_file, text = metrics_->text()] {
+  const bool taken = errands_->post([this, path = conf_.metrics_file, text = metrics_->serialize()] {
     const std::string fault = replace_file(path, text);
     boost::asio::post(strand_, [this, fault] {
-      if (fault.empty()) return log_.event(Level::kInfo, "metrics-written", {});
-      log_.event(Level::kWarn, "metrics-not-written", {{"cause", fault}});
+      if (fault.empty()) return log_.event(LogLevel::kInfo, "metrics-written", {});
+      log_.event(LogLevel::kWarn, "metrics-not-written", {{"cause", fault}});
     });
   });
   if (!taken)
-    log_.event(Level::kWarn, "metrics-not-written", {{"cause", "the last ones are still being written"}});
+    log_.event(LogLevel::kWarn, "metrics-not-written", {{"cause", "the last ones are still being written"}});
 }
 
 // The last answers must be with the kernel before the process ends.
@@ -280,8 +280,8 @@
 
 void Server::end() {
   if (coordinator_.unanswered() > 0)
-    log_.line("requests that never got their answer: " + std::to_string(coordinator_.unanswered()));
-  log_.line("ended, " + std::to_string(log_.broken_count()) + " invariants broken");
+    log_.message("requests that never got their answer: " + std::to_string(coordinator_.unanswered()));
+  log_.message("ended, " + std::to_string(log_.broken_invariant_count()) + " invariants broken");
   io_.stop();
 }
 
--- a/src/server.h
+++ b/src/server.h
@@ -41,7 +41,7 @@
   routes::Routes* routes() { return routes_.get(); }
   Metrics* metrics() { return metrics_.get(); }
   spool::Spool* spool() { return spool_.get(); }
-  std::uint64_t broken_invariants() const { return log_.broken_count(); }
+  std::uint64_t broken_invariants() const { return log_.broken_invariant_count(); }
 
  private:
   std::size_t client_limit() const;
--- a/src/spool/logic/spool_logic.h
+++ b/src/spool/logic/spool_logic.h
@@ -132,7 +132,7 @@
 
   // Ends leases. next_lease() is when that has to be done again, if ever.
   void advance(Micros now, std::vector<Order>& out);
-  std::optional<Micros> next_lease() const { return wheel_.next(); }
+  std::optional<Micros> next_lease() const { return wheel_.next_wakeup(); }
 
   // ---- What is known ----
   struct View {
@@ -164,7 +164,7 @@
     std::string handle;
     ReaderId reader{kNoReader};
     Micros give_up{0}, expires{0};
-    TimingWheel::Timer timer{TimingWheel::kNone};
+    TimingWheel::TimerId timer{TimingWheel::kNoTimer};
     PageIndex index;
     Bytes charged{0}, filled{0};
     std::uint64_t handed{0}, acknowledged{0};  // rows
--- a/src/spool/spool.cpp
+++ b/src/spool/spool.cpp
@@ -147,7 +147,7 @@
     }
   }
   counted_.lost.Increment(static_cast<double>(found.lost));
-  log_.event(found.usable && found.lost == 0 ? Level::kInfo : Level::kWarn, "spool-recovered",
+  log_.event(found.usable && found.lost == 0 ? LogLevel::kInfo : LogLevel::kWarn, "spool-recovered",
              {{"whole", found.whole.size()},
               {"expired", found.expired},
               {"lost", found.lost},
@@ -243,7 +243,7 @@
   if (held.spoilt) {
     opened.why = *held.spoilt;
     counted_.full.Increment();
-    log_.event(Level::kWarn, "spool-refused",
+    log_.event(LogLevel::kWarn, "spool-refused",
                {{"why", name(opened.why)}, {"pages", held.have.size()}, {"memory", logic_.memory().used()}});
     ended(id, opened.why);
     return then(std::move(opened));
@@ -361,7 +361,7 @@
                     handed_out(reading.id, window);
                   } else if (view && error != StoreError::kBusy) {
                     counted_.spoilt.Increment();
-                    log_.event(Level::kError, "spool-result-lost", {{"pages", view->index->pages()}});
+                    log_.event(LogLevel::kError, "spool-result-lost", {{"pages", view->index->pages()}});
                     ended(reading.id, End::kLost);
                   }
                   pages.reset();
@@ -452,22 +452,22 @@
   for (std::size_t page = 0; page < view->index->pages(); ++page)
     meta.pages.push_back({static_cast<std::uint32_t>(view->index->rows_in(page)),
                           static_cast<std::uint32_t>(view->index->bytes_in(page))});
-  disk_->put(std::move(meta), held->second.pages,
-             [this, id = store.id](StoreError error, std::uint64_t on_disk) {
-               if (error == StoreError::kNone) {
-                 counted_.stored.Increment();
-                 logic_.stored(id, on_disk);
-                 const auto view = logic_.view(id);
-                 if (view && view->on_disk) held_.erase(id);
-                 return;
-               }
-               counted_.not_stored.Increment();
-               if (error == StoreError::kClosed && logic_.disk_open()) {
-                 log_.event(Level::kError, "spool-disk-closed", {{"cause", "a write or a sync has failed"}});
-                 logic_.disk_closed();
-               }
-               logic_.not_stored(id);
-             });
+  disk_->put(
+      std::move(meta), held->second.pages, [this, id = store.id](StoreError error, std::uint64_t on_disk) {
+        if (error == StoreError::kNone) {
+          counted_.stored.Increment();
+          logic_.stored(id, on_disk);
+          const auto view = logic_.view(id);
+          if (view && view->on_disk) held_.erase(id);
+          return;
+        }
+        counted_.not_stored.Increment();
+        if (error == StoreError::kClosed && logic_.disk_open()) {
+          log_.event(LogLevel::kError, "spool-disk-closed", {{"cause", "a write or a sync has failed"}});
+          logic_.disk_closed();
+        }
+        logic_.not_stored(id);
+      });
 }
 
 void Spool::arm() {
--- a/tests/base/logic_test.cpp
+++ b/tests/base/logic_test.cpp
@@ -1,4 +1,5 @@
-// The timing wheel against a sorted list, and the log that nobody reads.
+// Tests of the base module: timing wheel (against a sorted list as the model), log, metrics, worker and
+// backoff.
 #include <fcntl.h>
 #include <rapidcheck/catch.h>
 #include <unistd.h>
@@ -34,18 +35,18 @@
 
 }  // namespace
 
-TEST_CASE("the wheel fires what a sorted list would, in the same ticks") {
-  rc::prop("random timers, taken back and let run", [] {
+TEST_CASE("the wheel fires the same timers at the same ticks as a sorted list") {
+  rc::prop("random timers, cancelled or left to fire", [] {
     constexpr std::int64_t kTick = 1000;
     const auto start = *rc::gen::inRange<std::int64_t>(0, std::int64_t{1} << 45);
     TimingWheel wheel(Micros{kTick}, Micros{start});
     std::multimap<std::int64_t, std::uint64_t> model;  // tick -> key
-    std::map<std::uint64_t, std::pair<TimingWheel::Timer, std::int64_t>> live;
+    std::map<std::uint64_t, std::pair<TimingWheel::TimerId, std::int64_t>> live;
     std::int64_t now = start;
     std::uint64_t next_key = 1;
     for (const int step : *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 10))) {
       if (step < 5) {
-        // Near, far, past and beyond the wheel's reach alike.
+        // Due times in the past, near, far and beyond the wheel's range.
         const int scale = *rc::gen::inRange(0, 50);
         const std::int64_t due =
             now - 2000 + *rc::gen::inRange<std::int64_t>(0, 1 + (std::int64_t{1} << scale));
@@ -67,7 +68,7 @@
         live.erase(at);
       } else {
         now += *rc::gen::inRange<std::int64_t>(0, 1 + (std::int64_t{1} << *rc::gen::inRange(0, 46)));
-        const auto earliest = wheel.next();
+        const auto earliest = wheel.next_wakeup();
         RC_ASSERT(earliest.has_value() == !model.empty());
         if (earliest) RC_ASSERT(earliest->count() / kTick <= model.begin()->first);
         std::vector<std::uint64_t> fired;
@@ -91,11 +92,11 @@
   });
 }
 
-// Guards against a list that is being walked while its own entries are taken out of it.
-TEST_CASE("a timer that fires may take back its neighbours and set new ones") {
+// Guards against iterating over a slot's list while entries are removed from it.
+TEST_CASE("a timer that fires may cancel timers of the same slot and schedule new ones") {
   TimingWheel wheel(Micros{1000}, Micros{0});
   std::vector<std::uint64_t> fired;
-  std::vector<TimingWheel::Timer> timers;
+  std::vector<TimingWheel::TimerId> timers;
   for (std::uint64_t key = 0; key < 3; ++key) timers.push_back(wheel.schedule(Micros{5000}, key));
   wheel.advance(Micros{5000}, [&](std::uint64_t key) {
     fired.push_back(key);
@@ -108,58 +109,59 @@
   CHECK(fired.back() == 7);
 }
 
-// Guards against a coordinator that stops because the pipe behind its log is full.
-TEST_CASE("a log that nobody reads stops nothing, is bounded, and says what it lost") {
+// Guards against a coordinator that blocks because the pipe that it logs to is full.
+TEST_CASE("a log that nobody reads never blocks, is bounded and reports dropped lines") {
   Pipe pipe;
   EventLog log(pipe.ends[1]);
   const std::string text(1000, 'x');
-  for (int i = 0; i < 2000; ++i) log.line(text);
-  CHECK(log.dropped_count() > 0);
+  for (int i = 0; i < 2000; ++i) log.message(text);
+  CHECK(log.dropped_line_count() > 0);
   std::string all;
   for (int i = 0; i < 100 && all.find("log lines dropped: ") == std::string::npos; ++i) {
     all = pipe.read();
     log.flush();
   }
-  CHECK(all.find("log lines dropped: " + std::to_string(log.dropped_count())) != std::string::npos);
+  CHECK(all.find("log lines dropped: " + std::to_string(log.dropped_line_count())) != std::string::npos);
 }
 
-TEST_CASE("an event is one line of name and values, or one object in JSON") {
+TEST_CASE("an event is one line with its name and values, or one JSON object") {
   Pipe pipe;
   EventLog log(pipe.ends[1]);
-  log.line("serving as n0");
-  log.event(Level::kWarn, "spool-closed", {{"cause", "no space\n\"left\""}, {"bytes", 12}, {"share", 0.5}});
-  log.event(Level::kDebug, "unseen", {});
+  log.message("serving as n0");
+  log.event(LogLevel::kWarn, "spool-closed",
+            {{"cause", "no space\n\"left\""}, {"bytes", 12}, {"share", 0.5}});
+  log.event(LogLevel::kDebug, "unseen", {});
   const std::string text = pipe.read();
   CHECK(text.substr(text.find(' ') + 1, 14) == "serving as n0\n");
   CHECK(text.find(R"(spool-closed cause="no space\n\"left\"" bytes=12 share=0.5)") != std::string::npos);
   CHECK(text.find("unseen") == std::string::npos);
-  log.set({Level::kDebug, true});
-  log.line("a \"line\"");
-  log.event(Level::kDebug, "seen", {{"bytes", 3}, {"who", "me"}});
+  log.configure({LogLevel::kDebug, true});
+  log.message("a \"line\"");
+  log.event(LogLevel::kDebug, "seen", {{"bytes", 3}, {"who", "me"}});
   std::istringstream lines(pipe.read());
-  std::string one;
-  std::getline(lines, one);
-  CHECK(nlohmann::json::parse(one).at("text") == "a \"line\"");
-  std::getline(lines, one);
-  const auto object = nlohmann::json::parse(one);
+  std::string line;
+  std::getline(lines, line);
+  CHECK(nlohmann::json::parse(line).at("text") == "a \"line\"");
+  std::getline(lines, line);
+  const auto object = nlohmann::json::parse(line);
   CHECK(object.at("event") == "seen");
   CHECK(object.at("bytes") == 3);
   CHECK(object.at("level") == "debug");
 }
 
-TEST_CASE("the same metric is one object, and its text names it") {
+TEST_CASE("the same name and labels give one metric, which appears in the text format") {
   Metrics metrics;
   auto& first = metrics.counter("steprail_test_total", "Things.", {{"kind", "a"}});
   first.Increment();
   metrics.counter("steprail_test_total", "Things.", {{"kind", "a"}}).Increment(2);
   CHECK(first.Value() == 3);
   metrics.histogram("steprail_test_seconds", "Times.", {0.1, 1}).Observe(0.5);
-  const std::string text = metrics.text();
+  const std::string text = metrics.serialize();
   CHECK(text.find("steprail_test_total{kind=\"a\"} 3") != std::string::npos);
   CHECK(text.find("steprail_test_seconds_bucket{le=\"1\"} 1") != std::string::npos);
 }
 
-TEST_CASE("a worker does all that it took, in order, and takes no more than its bound") {
+TEST_CASE("a worker runs all accepted jobs in order and refuses jobs above its queue limit") {
   std::vector<int> done;
   bool refused = false;
   {
@@ -175,28 +177,28 @@
   CHECK(std::is_sorted(done.begin(), done.end()));
 }
 
-// Guards against hundreds of coordinators that lose the directory together and come back together, try after
-// try.
-TEST_CASE("three hundred that lose the same peer at once come back spread over the whole pause") {
+// Guards against hundreds of coordinators that lose the directory together and then reconnect at the same
+// moment on each attempt.
+TEST_CASE("delays of 300 instances that fail at once are spread over the whole backoff") {
   using std::chrono::milliseconds;
-  for (int tries = 1; tries <= 4; ++tries) {
-    const int reach = std::min(800, 200 << (tries - 1));
+  for (int attempts = 1; attempts <= 4; ++attempts) {
+    const int max_delay_ms = std::min(800, 200 << (attempts - 1));
     std::map<std::int64_t, int> tenths;
     for (std::uint64_t seed = 0; seed < 300; ++seed) {
       Backoff backoff(seed, milliseconds(200), milliseconds(800));
-      Backoff::Micros pause{};
-      for (int i = 0; i < tries; ++i) pause = backoff.next();
-      CHECK(pause <= milliseconds(reach));
-      ++tenths[pause.count() / (reach * 100)];
+      Backoff::Micros delay{};
+      for (int i = 0; i < attempts; ++i) delay = backoff.next_delay();
+      CHECK(delay <= milliseconds(max_delay_ms));
+      ++tenths[delay.count() / (max_delay_ms * 100)];
     }
     for (const auto& [_, count] : tenths) CHECK(count < 60);  // of 30 on average
     CHECK(tenths.size() >= 10);
   }
 }
 
-TEST_CASE("a pause begins small again after a success") {
+TEST_CASE("a reset returns the backoff to its initial delay") {
   Backoff backoff(7, std::chrono::milliseconds(10), std::chrono::seconds(10));
-  for (int i = 0; i < 20; ++i) backoff.next();
+  for (int i = 0; i < 20; ++i) backoff.next_delay();
   backoff.reset();
-  CHECK(backoff.next() <= std::chrono::milliseconds(10));
+  CHECK(backoff.next_delay() <= std::chrono::milliseconds(10));
 }
--- a/tests/conf/conf_test.cpp
+++ b/tests/conf/conf_test.cpp
@@ -1,4 +1,4 @@
-// The operator's file: its grammar, its checks, its messages and its reference.
+// Tests of the operator's configuration file: grammar, validation, error messages and reference.
 #include <catch2/catch.hpp>
 
 #include "conf/schema.h"
@@ -9,26 +9,26 @@
 using namespace steprail;
 using namespace steprail::conf;
 
-struct Read {
+struct ReadResult {
   spool::SpoolSettings settings;
-  std::vector<Fault> faults;
-  std::string text;
+  std::vector<Diagnostic> diagnostics;
+  std::string rendered;
 };
 
-Read take_in(const std::string& text) {
-  Read out;
+ReadResult read_spool_settings(const std::string& text) {
+  ReadResult result;
   Schema schema;
-  spool::register_spool(schema, out.settings);
+  spool::register_spool(schema, result.settings);
   const Document document = parse("s.conf", text);
-  out.faults = schema.apply(document);
-  out.text = render(document, out.faults);
-  return out;
+  result.diagnostics = schema.apply(document);
+  result.rendered = render_diagnostics(document, result.diagnostics);
+  return result;
 }
 
 }  // namespace
 
-TEST_CASE("units, options, comments and quotes are read as they stand") {
-  const Read read = take_in(
+TEST_CASE("units, options, comments and quoted words are parsed") {
+  const ReadResult read = read_spool_settings(
       "# what is on\n"
       "spool {   # results\n"
       "\tlisten 127.0.0.1:7070\n"
@@ -38,7 +38,7 @@
       "  share vlaanderen 57%\n"
       "  share \"wal\\\"lonie\" 43%\n"
       "}\n");
-  CHECK(read.text.empty());
+  CHECK(read.rendered.empty());
   CHECK(read.settings.on);
   CHECK(read.settings.logic.memory.most == 8u << 20);
   CHECK(read.settings.logic.memory.high == Approx(0.8));
@@ -49,8 +49,8 @@
   CHECK(read.settings.shares.at("wal\"lonie") == Approx(0.43));
 }
 
-TEST_CASE("all that is wrong is told in one go, with line, column, caret and the nearest word") {
-  const Read read = take_in(
+TEST_CASE("all errors are reported at once, with line, column, caret and a suggestion") {
+  const ReadResult read = read_spool_settings(
       "spol {\n"
       "}\n"
       "spool {\n"
@@ -64,55 +64,55 @@
       "  memory 8m hihg 3%\n"
       "  segment (\n"
       "  share x \"y\n");
-  CHECK(read.text.find("s.conf:1:1: 'spol' is no block; did you mean 'spool'?\n  spol {\n  ^~~~\n") !=
+  CHECK(read.rendered.find("s.conf:1:1: 'spol' is no block; did you mean 'spool'?\n  spol {\n  ^~~~\n") !=
         std::string::npos);
-  CHECK(read.text.find("s.conf:4:10: 'nowhere' is not an address") != std::string::npos);
-  CHECK(read.text.find("s.conf:5:3: 'memroy' is no directive of spool; did you mean 'memory'?\n"
-                       "    memroy 8m\n    ^~~~~~\n") != std::string::npos);
-  CHECK(read.text.find("s.conf:6:9: '12' is not a time such as") != std::string::npos);
-  CHECK(read.text.find("s.conf:7:3: 'lease' stands in line 6 already") != std::string::npos);
-  CHECK(read.text.find("s.conf:8:12: '99' is out of range: 1 to 19") != std::string::npos);
-  CHECK(read.text.find("s.conf:9:8: 'relative' is not a path") != std::string::npos);
-  CHECK(read.text.find("s.conf:10:14: 'sessions' ends before this") != std::string::npos);
-  CHECK(read.text.find("s.conf:11:13: 'hihg' is no word of memory; did you mean 'high'?") !=
+  CHECK(read.rendered.find("s.conf:4:10: 'nowhere' is not an address") != std::string::npos);
+  CHECK(read.rendered.find("s.conf:5:3: 'memroy' is no directive of spool; did you mean 'memory'?\n"
+                           "    memroy 8m\n    ^~~~~~\n") != std::string::npos);
+  CHECK(read.rendered.find("s.conf:6:9: '12' is not a time such as") != std::string::npos);
+  CHECK(read.rendered.find("s.conf:7:3: 'lease' stands in line 6 already") != std::string::npos);
+  CHECK(read.rendered.find("s.conf:8:12: '99' is out of range: 1 to 19") != std::string::npos);
+  CHECK(read.rendered.find("s.conf:9:8: 'relative' is not a path") != std::string::npos);
+  CHECK(read.rendered.find("s.conf:10:14: 'sessions' ends before this") != std::string::npos);
+  CHECK(read.rendered.find("s.conf:11:13: 'hihg' is no word of memory; did you mean 'high'?") !=
         std::string::npos);
-  CHECK(read.text.find("s.conf:12:11: this character can stand in \"quotes\" only") != std::string::npos);
-  CHECK(read.text.find("s.conf:13:13: quoted text does not end") != std::string::npos);
-  CHECK(read.text.find("s.conf:3:1: block 'spool' is not closed") != std::string::npos);
-  CHECK(read.faults.size() == 12);
+  CHECK(read.rendered.find("s.conf:12:11: this character can stand in \"quotes\" only") != std::string::npos);
+  CHECK(read.rendered.find("s.conf:13:13: quoted text does not end") != std::string::npos);
+  CHECK(read.rendered.find("s.conf:3:1: block 'spool' is not closed") != std::string::npos);
+  CHECK(read.diagnostics.size() == 12);
 }
 
-TEST_CASE("rules over several directives are held once each is right by itself") {
+TEST_CASE("rules across several directives are checked once each directive is valid") {
   const auto with = [](const std::string& lines) {
-    return take_in("spool {\n  listen 127.0.0.1:0\n" + lines + "}\n").text;
+    return read_spool_settings("spool {\n  listen 127.0.0.1:0\n" + lines + "}\n").rendered;
   };
   CHECK(with("").empty());
-  CHECK(take_in("spool {\n}\n").text.find("lacks 'listen ADDRESS'") != std::string::npos);
+  CHECK(read_spool_settings("spool {\n}\n").rendered.find("lacks 'listen ADDRESS'") != std::string::npos);
   CHECK(with("memory 4m\nresult-most 2m\n").find(":4:1: a result may take a quarter") != std::string::npos);
   CHECK(with("share a 60%\nshare b 60%\n").find("more than 100%") != std::string::npos);
   CHECK(with("share a 60%\nshare a 10%\n").find("given twice") != std::string::npos);
   CHECK(with("disk-above 64k\n").find("there is no 'disk' for it") != std::string::npos);
   CHECK(with("disk /tmp/x 4m\nsegment 4m\n").find("two segments") != std::string::npos);
   CHECK(with("memory 4m high 50% low 60%\n").find("the low mark must lie below") != std::string::npos);
-  CHECK(take_in("}\n").text.find("closes no block") != std::string::npos);
-  CHECK(take_in("spool\n").text.find("is a block") != std::string::npos);
+  CHECK(read_spool_settings("}\n").rendered.find("closes no block") != std::string::npos);
+  CHECK(read_spool_settings("spool\n").rendered.find("is a block") != std::string::npos);
   CHECK(with("memory {\n}\n").find("is no block") != std::string::npos);
 }
 
-TEST_CASE("a file of any bytes ends in settings or in faults, never otherwise") {
+TEST_CASE("any file content gives settings or errors, never a crash") {
   std::string text = "spool {\n listen 127.0.0.1:1\n memory 8m high 80%\n share \"a\\\\b\" 3%\n}\n";
-  for (std::size_t cut = 0; cut <= text.size(); ++cut) take_in(text.substr(0, cut));
-  for (std::size_t at = 0; at < text.size(); ++at) {
+  for (std::size_t length = 0; length <= text.size(); ++length) read_spool_settings(text.substr(0, length));
+  for (std::size_t position = 0; position < text.size(); ++position) {
     for (const char c : {'\0', '"', '\\', '{', '}', '#', '\n', '\x80', '\xff'}) {
-      std::string other = text;
-      other[at] = c;
-      take_in(other);
+      std::string changed = text;
+      changed[position] = c;
+      read_spool_settings(changed);
     }
   }
   SUCCEED();
 }
 
-TEST_CASE("the reference tells of every directive its unit, range and default") {
+TEST_CASE("the reference states the unit, range and default of a directive") {
   Schema schema;
   spool::SpoolSettings settings;
   spool::register_spool(schema, settings);
@@ -126,11 +126,12 @@
   CHECK(schema.reference("nothing").empty());
 }
 
-TEST_CASE("defaults that the reference states are those in force") {
+TEST_CASE("defaults in the reference match the settings' initial values") {
   const spool::SpoolSettings settings;
-  std::string fault;
+  std::string error_text;
   const auto bytes = [&](const char* text) {
-    return static_cast<std::uint64_t>(std::get<std::int64_t>(*read_value({"", Kind::kBytes}, text, fault)));
+    return static_cast<std::uint64_t>(
+        std::get<std::int64_t>(*parse_value({"", ValueKind::kBytes}, text, error_text)));
   };
   CHECK(settings.logic.memory.most == bytes("64m"));
   CHECK(settings.segment == bytes("16m"));
--- a/tests/routes/check_test.cpp
+++ b/tests/routes/check_test.cpp
@@ -42,7 +42,7 @@
   register_routes(schema, conf);
   const conf::Document document = conf::parse("test", text);
   const auto faults = schema.apply(document);
-  INFO(conf::render(document, faults));
+  INFO(conf::render_diagnostics(document, faults));
   REQUIRE(faults.empty());
   return conf;
 }
@@ -138,7 +138,7 @@
     conf::Schema schema;
     register_routes(schema, conf);
     const conf::Document document = conf::parse("f", text);
-    return conf::render(document, schema.apply(document));
+    return conf::render_diagnostics(document, schema.apply(document));
   };
   CHECK(told("route r {\n  patience 6\n}\n").find("f:2:12: '6' is not") == 0);
   CHECK(told("route r {\n  patience 6m\n  limit 5s 9\n}\n").find("f:3:9: '5s' is not") == 0);
--- a/tests/routes/plan_test.cpp
+++ b/tests/routes/plan_test.cpp
@@ -38,7 +38,7 @@
   register_traffic(schema, traffic);
   const conf::Document document = conf::parse("traffic", text);
   const auto faults = schema.apply(document);
-  INFO(conf::render(document, faults));
+  INFO(conf::render_diagnostics(document, faults));
   REQUIRE(faults.empty());
   return traffic;
 }
--- a/tests/spool/story_test.cpp
+++ b/tests/spool/story_test.cpp
@@ -68,7 +68,7 @@
 }
 
 double metric(Site& site, const std::string& name) {
-  const std::string text = site.server->metrics()->text();
+  const std::string text = site.server->metrics()->serialize();
   const std::size_t at = text.find('\n' + name + ' ');
   return at == std::string::npos ? -1 : std::stod(text.substr(at + name.size() + 2));
 }
