--- a/src/commands/plan.cpp
+++ b/src/commands/plan.cpp
@@ -33,7 +33,7 @@
   const conf::Document document = read_document(traffic_path);
   const auto faults = schema.apply(document);
   if (!faults.empty())
-    throw std::runtime_error("traffic file cannot be used:\n" + conf::render(document, faults));
+    throw std::runtime_error("traffic file cannot be used:\n" + conf::render_diagnostics(document, faults));
   if (traffic.cores <= 0) throw std::runtime_error(traffic_path + ": a block 'engines' is missing");
 
   using Planner = void (*)(const routes::Traffic*, const Settings*, const NameTables*, routes::Plan*);
@@ -52,7 +52,7 @@
   routes::register_routes(routes_schema, all_routes);
   const conf::Document plan_document = conf::parse("the plan", result.file());
   const auto plan_faults = routes_schema.apply(plan_document);
-  if (!plan_faults.empty()) throw std::runtime_error(conf::render(plan_document, plan_faults));
+  if (!plan_faults.empty()) throw std::runtime_error(conf::render_diagnostics(plan_document, plan_faults));
   std::vector<routes::Wrong> wrong;
   routes::checked(all_routes, config.settings, config.tables, wrong);
   if (!wrong.empty()) {
--- a/src/core/coordinator.cpp
+++ b/src/core/coordinator.cpp
@@ -93,7 +93,7 @@
   arrival.table_group = q.table_group;
   arrival.client_retry = q.client_retry;
   if (routing_ != nullptr) routing_->arrived(q, arrival);
-  log_.event(Level::kDebug, "arrived",
+  log_.event(LogLevel::kDebug, "arrived",
              {{"id", q.name},
               {"class", q.class_name},
               {"group", q.table_group},
@@ -124,7 +124,7 @@
 void Coordinator::note_received(ProgressReport note) {
   const auto at = open_requests_.find(note.id);
   if (at != open_requests_.end())
-    log_.event(Level::kDebug, "noted",
+    log_.event(LogLevel::kDebug, "noted",
                {{"id", at->second.query.name},
                 {"attempt", note.attempt},
                 {"engine", note.engine},
@@ -170,7 +170,7 @@
   closed.outcome = outcome;
   closed.delay = clock_.now() - request.sent_at;
   closed.report = report;
-  log_.event(Level::kDebug, "closed",
+  log_.event(LogLevel::kDebug, "closed",
              {{"id", request.query.name},
               {"attempt", closed.attempt},
               {"engine", closed.engine},
@@ -235,9 +235,9 @@
 void Coordinator::log_lateness() {
   if (timeouts_.empty() || now_ - timeouts_.top().at < kLateLogThreshold || now_ < next_lateness_log_) return;
   next_lateness_log_ = now_ + kLateLogInterval;
-  log_.line("late by " + std::to_string((now_ - timeouts_.top().at).count() / 1000) + " ms, " +
-            std::to_string(open_requests_.size()) + " requests held, " +
-            std::to_string(pending_events_.size()) + " events at once");
+  log_.message("late by " + std::to_string((now_ - timeouts_.top().at).count() / 1000) + " ms, " +
+               std::to_string(open_requests_.size()) + " requests held, " +
+               std::to_string(pending_events_.size()) + " events at once");
 }
 
 void Coordinator::handle_timeouts() {
@@ -278,7 +278,7 @@
     if (at == open_requests_.end()) return;
     if (!std::exchange(at->second.answered, true)) {
       --unanswered_;
-      log_.event(Level::kDebug, "client_gone", {{"id", at->second.query.name}});
+      log_.event(LogLevel::kDebug, "client_gone", {{"id", at->second.query.name}});
       if (routing_ != nullptr) routing_->ended(gone->id, Routing::Result::kGone);
     }
     ended_id = gone->id, may_erase = true;
@@ -300,7 +300,7 @@
   if (request.answered) return;
   request.answered = true;
   --unanswered_;
-  log_.event(Level::kDebug, "answered",
+  log_.event(LogLevel::kDebug, "answered",
              {{"id", request.query.name},
               {"verdict", kVerdicts[static_cast<std::size_t>(answer.verdict)]},
               {"reason", reason},
@@ -352,7 +352,7 @@
   request.attempt_state = AttemptState::kInFlight;
   timeouts_.push(
       {now_ + attempt_timeout, TimeoutKind::kAttempt, send.id, request.generation, request.attempts - 1});
-  log_.event(Level::kDebug, "sent",
+  log_.event(LogLevel::kDebug, "sent",
              {{"id", request.query.name},
               {"attempt", request.attempts - 1},
               {"engine", send.engine},
@@ -390,6 +390,6 @@
 void Coordinator::execute(const Timer& timer) {
   timeouts_.push({timer.due, TimeoutKind::kAlarm, timer.label, 0, 0});
 }
-void Coordinator::execute(const Log& text) { log_.line(text.text); }
+void Coordinator::execute(const Log& text) { log_.message(text.text); }
 
 }  // namespace steprail
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -90,12 +90,13 @@
     }
     ledger_ = std::make_unique<LedgerWriter>(
         strand, std::move(index), settings.tenants, [this](const LedgerRecord& record, bool durable) {
-          if (!durable) log_.event(Level::kError, "edge-not-recorded", {{"fate", name(record.state)}});
+          if (!durable) log_.event(LogLevel::kError, "edge-not-recorded", {{"fate", name(record.state)}});
           logic_->on_recorded(record, durable, now(), actions_);
           perform_actions();
         });
     recovery = ledger_->recover(new_incarnation, unix_now());
-    log_.event(recovery.usable && recovery.unreadable == 0 ? Level::kInfo : Level::kError, "edge-ledger",
+    log_.event(recovery.usable && recovery.unreadable == 0 ? LogLevel::kInfo : LogLevel::kError,
+               "edge-ledger",
                {{"entries", recovery.records.size()},
                 {"unreadable", recovery.unreadable},
                 {"incarnations", recovery.incarnations.size()},
--- a/src/edge/logic/edge_logic.cpp
+++ b/src/edge/logic/edge_logic.cpp
@@ -802,7 +802,7 @@
 }
 
 std::optional<Micros> EdgeLogic::next_wakeup(Micros now) const {
-  std::optional<Micros> earliest = wheel_.next();
+  std::optional<Micros> earliest = wheel_.next_wakeup();
   for (const auto& other : {ledger_.next_wakeup(), admission_gate_.next_wakeup(now)}) {
     if (other && (!earliest || *other < *earliest)) earliest = other;
   }
--- a/src/edge/logic/edge_logic.h
+++ b/src/edge/logic/edge_logic.h
@@ -169,7 +169,7 @@
     bool fetching{false}, awaiting_memory{false}, long_polling{false};
     Micros last_heard_at{0}, ping_sent_at{0}, expires_at{0};
     std::uint64_t ping_nonce{0};
-    TimingWheel::Timer timer{TimingWheel::kNone};
+    TimingWheel::TimerId timer{TimingWheel::kNoTimer};
     explicit Session(Seq first_seq, const EdgeSettings& settings)
         : channel(first_seq), page_sizer(settings.min_page_bytes, settings.max_page_bytes) {}
   };
@@ -177,7 +177,7 @@
     SessionId session{0};  // 0: no hello yet, or waiting for admission
     std::unique_ptr<Frame>
         hello;  // only while waiting: a frame is large, and an idle session should hold none
-    TimingWheel::Timer timer{TimingWheel::kNone};
+    TimingWheel::TimerId timer{TimingWheel::kNoTimer};
   };
   struct PendingRequest {  // a request at the coordinator, or about to be submitted
     RequestKey key;
--- a/src/edge/logic/ledger_logic.h
+++ b/src/edge/logic/ledger_logic.h
@@ -107,7 +107,7 @@
   const Outcome* finalize_outcome(const RequestKey& key, bool durable);
 
   void advance(Micros now, std::int64_t now_unix_us, std::vector<LedgerRecord>& out);
-  std::optional<Micros> next_wakeup() const { return wheel_.next(); }
+  std::optional<Micros> next_wakeup() const { return wheel_.next_wakeup(); }
   std::optional<EntryState> state_of(const RequestKey& key) const;
   std::uint64_t request_of(const RequestKey& key) const;
   std::uint64_t incarnation() const { return incarnations_.back(); }
--- a/src/edge/settings.cpp
+++ b/src/edge/settings.cpp
@@ -6,26 +6,27 @@
 }
 
 void register_edge(conf::Schema& schema, EdgeConf& config) {
-  using Given = conf::Directive::Given;
+  using Given = conf::Directive::Parsed;
   conf::Block& block = schema.block(
       "edge",
       "Serves devices on poor links over WebSocket and HTTP long poll: sessions outlive connections, "
       "and a load that is sent again gets its first outcome. Needs the block 'spool'.");
-  block.present([&config] { config.enabled = true; });
+  block.on_present([&config] { config.enabled = true; });
   const auto time = [&](const char* name, const char* help, double min, double max, const char* default_value,
                         Micros& target) {
     block.directive(name, help)
         .time("TIME", min, max)
-        .standard(default_value)
-        .take([&target](const Given& given) { return target = Micros{given.whole(0)}, std::string(); });
+        .default_value(default_value)
+        .on_parsed(
+            [&target](const Given& given) { return target = Micros{given.integer(0)}, std::string(); });
   };
   const auto count = [&](const char* name, const char* help, double min, double max,
                          const char* default_value, auto& target) {
     block.directive(name, help)
         .count("COUNT", min, max)
-        .standard(default_value)
-        .take([&target](const Given& given) {
-          return target = static_cast<std::remove_reference_t<decltype(target)>>(given.whole(0)),
+        .default_value(default_value)
+        .on_parsed([&target](const Given& given) {
+          return target = static_cast<std::remove_reference_t<decltype(target)>>(given.integer(0)),
                  std::string();
         });
   };
@@ -33,25 +34,25 @@
                          const char* default_value, auto& target) {
     block.directive(name, help)
         .bytes("SIZE", min, max)
-        .standard(default_value)
-        .take([&target](const Given& given) {
-          return target = static_cast<std::remove_reference_t<decltype(target)>>(given.whole(0)),
+        .default_value(default_value)
+        .on_parsed([&target](const Given& given) {
+          return target = static_cast<std::remove_reference_t<decltype(target)>>(given.integer(0)),
                  std::string();
         });
   };
   block.directive("listen", "the address that devices connect to")
       .address("ADDRESS")
       .required()
-      .take([&config](const Given& given) { return config.listen = given.text(0), std::string(); });
+      .on_parsed([&config](const Given& given) { return config.listen = given.text(0), std::string(); });
   block.directive("home", "this coordinator's name in its devices' tokens; no two coordinators share one")
       .text("NAME")
       .required()
-      .take([&config](const Given& given) { return config.logic.home = given.text(0), std::string(); });
+      .on_parsed([&config](const Given& given) { return config.logic.home = given.text(0), std::string(); });
   block.directive("other", "another home, and the address at which its devices reach it")
       .text("NAME")
       .text("ADDRESS")
       .repeated()
-      .take([&config](const Given& given) {
+      .on_parsed([&config](const Given& given) {
         return config.logic.peer_homes.emplace(given.text(0), given.text(1)).second
                    ? std::string()
                    : "home '" + given.text(0) + "' is given twice";
@@ -63,7 +64,7 @@
           "to it is answered 'unknown'")
       .text("NAME")
       .repeated()
-      .take([&config](const Given& given) {
+      .on_parsed([&config](const Given& given) {
         return config.logic.retired_homes.insert(given.text(0)), std::string();
       });
   block
@@ -71,18 +72,18 @@
                  "a file of at least 32 bytes that all homes share; without it tokens are valid for this "
                  "process only")
       .path("FILE")
-      .standard("random, the process's own")
-      .take([&config](const Given& given) { return config.secret_file = given.text(0), std::string(); });
+      .default_value("random, the process's own")
+      .on_parsed([&config](const Given& given) { return config.secret_file = given.text(0), std::string(); });
   block
       .directive("ledger",
                  "a folder for the outcomes of loads, and its maximum size; without it they are kept in "
                  "memory, and are 'unknown' after a restart")
       .path("FOLDER")
       .bytes("SIZE", kMiB, 64 * kGiB)
-      .standard("in memory")
-      .take([&config](const Given& given) {
+      .default_value("in memory")
+      .on_parsed([&config](const Given& given) {
         config.ledger_folder = given.text(0);
-        config.max_ledger_bytes = static_cast<std::uint64_t>(given.whole(1));
+        config.max_ledger_bytes = static_cast<std::uint64_t>(given.integer(1));
         config.logic.ledger.durable = true;
         return std::string();
       });
@@ -121,7 +122,7 @@
        "2s", config.logic.min_heartbeat);
   time("heartbeat-most", "interval between heartbeats on the slowest connections", kSecond / 5, 600 * kSecond,
        "30s", config.logic.max_heartbeat);
-  using Wrong = conf::Block::Wrong;
+  using Wrong = conf::Block::Violation;
   block.rule([&config]() -> Wrong {
     if (config.logic.min_page_bytes <= config.logic.max_page_bytes) return {};
     return {"page-least", "the minimum page is larger than the maximum"};
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -9,7 +9,7 @@
 
 int main(int argc, char** argv) {
   using namespace steprail;
-  hold_signals();
+  block_signals();
   CLI::App app{"steprail: a coordinator in front of query engines"};
   app.require_subcommand(1);
   std::string config_path, conf_path, topic;
@@ -46,7 +46,7 @@
   CLI::App* version = app.add_subcommand("version", "print the version");
   CLI11_PARSE(app, argc, argv);
   // Signals end the other commands as usual; serve releases them once its handlers are installed.
-  if (!*serve) release_signals();
+  if (!*serve) unblock_signals();
   try {
     if (*version) std::cout << "steprail " STEPRAIL_VERSION "\n";
     if (*help) {
--- a/src/net/directory.cpp
+++ b/src/net/directory.cpp
@@ -51,8 +51,8 @@
     for (const json& event : saved.at("updates")) apply(event, last_index_ == 0);
     last_index_ = std::max(last_index_, saved.at("index").get<std::int64_t>());
   } catch (const std::exception& fault) {
-    log_.line("the saved list cannot be read behind event " + std::to_string(last_index_) + ": " +
-              fault.what());
+    log_.message("the saved list cannot be read behind event " + std::to_string(last_index_) + ": " +
+                 fault.what());
   }
 }
 
@@ -93,12 +93,12 @@
 
 void Directory::reconnect(const std::string& why) {
   if (!std::exchange(loss_logged_, true))
-    log_.line("directory lost, followed anew from " + std::to_string(last_index_) + ": " + why);
+    log_.message("directory lost, followed anew from " + std::to_string(last_index_) + ": " + why);
   ++generation_;
   error_code ignored;
   socket_.close(ignored);
   silence_timer_.cancel();
-  reconnect_timer_.expires_after(backoff_.next());
+  reconnect_timer_.expires_after(backoff_.next_delay());
   reconnect_timer_.async_wait([this](error_code error) {
     if (!error) follow();
   });
@@ -107,7 +107,7 @@
 void Directory::move_to(const tcp::endpoint& source) {
   if (source == source_) return;
   source_ = source;
-  log_.line("directory moves to " + source.address().to_string() + ':' + std::to_string(source.port()));
+  log_.message("directory moves to " + source.address().to_string() + ':' + std::to_string(source.port()));
   error_code ignored;
   socket_.close(ignored);
   reconnect_timer_.cancel();
@@ -134,8 +134,8 @@
         reconnect(std::string("malformed line: ") + fault.what());
         return false;
       }
-      log_.line("line of the directory passed over behind event " + std::to_string(last_index_) + ": " +
-                fault.what());
+      log_.message("line of the directory passed over behind event " + std::to_string(last_index_) + ": " +
+                   fault.what());
     }
     in_.consume(end + 1);
   }
@@ -163,7 +163,7 @@
   bad_lines_ = 0;
   backoff_.reset();
   if (std::exchange(loss_logged_, false))
-    log_.line("directory followed again, at " + std::to_string(last_index_));
+    log_.message("directory followed again, at " + std::to_string(last_index_));
 }
 
 // Throws if the row is invalid.
@@ -225,19 +225,19 @@
       const EngineChange& previous = stored.change;
       if (previous.name != read.change.name || previous.address != read.change.address ||
           previous.standing != read.change.standing || previous.started_at != read.change.started_at)
-        log_.line("engine " + std::to_string(read.entry.engine) + " is " + read.change.name + " at " +
-                  read.change.address + ", " + row.at("status").get<std::string>());
+        log_.message("engine " + std::to_string(read.entry.engine) + " is " + read.change.name + " at " +
+                     read.change.address + ", " + row.at("status").get<std::string>());
       stored = read;
       entries.push_back(read.entry);
       changes.push_back(std::move(read.change));
     } catch (const std::exception& fault) {
       if (++left_out <= kMaxRowLogLines)
-        log_.line("a row of event " + std::to_string(index) + " is left out: " + fault.what());
+        log_.message("a row of event " + std::to_string(index) + " is left out: " + fault.what());
     }
   }
   if (left_out > kMaxRowLogLines)
-    log_.line("rows of event " + std::to_string(index) +
-              " left out besides: " + std::to_string(left_out - kMaxRowLogLines));
+    log_.message("rows of event " + std::to_string(index) +
+                 " left out besides: " + std::to_string(left_out - kMaxRowLogLines));
   // Engines that are not in a full list are gone.
   for (const auto& [name, engine] : tables_.engines.by_name()) {
     if (!full || listed.contains(engine)) continue;
--- a/src/net/engine_pool.cpp
+++ b/src/net/engine_pool.cpp
@@ -111,7 +111,7 @@
     pending.max_bytes = pending.sink != nullptr ? dispatch.query.max_result_bytes : kMaxResultBytes;
     pending.exclusive = pool_.runs_at_most_once(dispatch.query);
     pool_.log_.event(
-        Level::kDebug, "queued",
+        LogLevel::kDebug, "queued",
         {{"id", pending.name}, {"attempt", pending.attempt}, {"engine", engine_}, {"connection", number_}});
     in_flight_.emplace(dispatch.query.id, std::move(pending));
     out_.push(serve_command(dispatch), last_tag_);
@@ -209,9 +209,9 @@
     if (std::exchange(closed_, true)) return;
     const auto self = shared_from_this();
     if (!reason.empty() && (in_flight_count() > 0 || !connected_))
-      pool_.log_.line("engine " + std::to_string(engine_) + ": connection lost with " +
-                      std::to_string(in_flight_count()) + " attempts: " + reason);
-    pool_.log_.event(Level::kDebug, "connection_closed",
+      pool_.log_.message("engine " + std::to_string(engine_) + ": connection lost with " +
+                         std::to_string(in_flight_count()) + " attempts: " + reason);
+    pool_.log_.event(LogLevel::kDebug, "connection_closed",
                      {{"connection", number_},
                       {"engine", engine_},
                       {"attempts", in_flight_count()},
@@ -371,7 +371,7 @@
   // The answer belongs to no attempt in flight.
   void log_ignored_answer(const EngineAnswer& answer) {
     pool_.log_.event(
-        Level::kDebug, "passed_over",
+        LogLevel::kDebug, "passed_over",
         {{"id", answer.id}, {"word", name_of(answer.kind)}, {"engine", engine_}, {"connection", number_}});
   }
 
@@ -507,7 +507,7 @@
   if (address_changed) {
     engine.address = change.address;
     engine.endpoint = parse_address(change.address);
-    if (!engine.endpoint) log_.line("engine " + engine.name + " has no usable address: " + engine.address);
+    if (!engine.endpoint) log_.message("engine " + engine.name + " has no usable address: " + engine.address);
   }
   engine.started_at = change.started_at;
 }
--- a/src/net/framed.cpp
+++ b/src/net/framed.cpp
@@ -203,7 +203,7 @@
     if (error == boost::asio::error::operation_aborted) return;
     if (error) {
       // Probably out of file descriptors; an immediate retry would spin.
-      log_.line("accept failed: " + error.message());
+      log_.message("accept failed: " + error.message());
       accept_pause_timer_.expires_after(kAcceptPause);
       accept_pause_timer_.async_wait([this](error_code e) {
         if (!e) accept();
@@ -230,7 +230,7 @@
 // then the number of the others.
 void FramedServer::log_client_closed(const char* reason) {
   if (++closed_since_sweep_ <= kMaxCloseLogLines)
-    log_.line("client connection closed: " + std::string(reason));
+    log_.message("client connection closed: " + std::string(reason));
 }
 
 bool FramedServer::evict_session() {
@@ -262,8 +262,8 @@
     log_.flush();
     const Micros now = coordinator_.now();
     if (closed_since_sweep_ > kMaxCloseLogLines)
-      log_.line("client connections closed besides: " +
-                std::to_string(closed_since_sweep_ - kMaxCloseLogLines));
+      log_.message("client connections closed besides: " +
+                   std::to_string(closed_since_sweep_ - kMaxCloseLogLines));
     closed_since_sweep_ = 0;
     const auto sessions = sessions_;
     for (const auto& [_, session] : sessions) session->sweep(now);
--- a/src/operator.cpp
+++ b/src/operator.cpp
@@ -8,23 +8,24 @@
 
 namespace steprail {
 
-using Given = conf::Directive::Given;
+using Given = conf::Directive::Parsed;
 
 void register_blocks(conf::Schema& schema, OperatorConf& into) {
   conf::Block& log = schema.block("log", "The log, written to standard error.");
   log.directive("format", "plain text lines, or one JSON object per line")
       .choice({"text", "json"})
-      .standard("text")
-      .take([&into](const Given& given) { return into.log.json = given.text(0) == "json", std::string(); });
+      .default_value("text")
+      .on_parsed(
+          [&into](const Given& given) { return into.log.json = given.text(0) == "json", std::string(); });
   log.directive("level", "the lowest level of what is logged; lines below it are left out")
       .choice({"debug", "info", "warn", "error"})
-      .standard("info")
-      .take([&into](const Given& given) {
+      .default_value("info")
+      .on_parsed([&into](const Given& given) {
         const std::string& word = given.text(0);
-        into.log.least = word == "debug"  ? Level::kDebug
-                         : word == "info" ? Level::kInfo
-                         : word == "warn" ? Level::kWarn
-                                          : Level::kError;
+        into.log.min_level = word == "debug"  ? LogLevel::kDebug
+                             : word == "info" ? LogLevel::kInfo
+                             : word == "warn" ? LogLevel::kWarn
+                                              : LogLevel::kError;
         return std::string();
       });
   conf::Block& metrics =
@@ -32,7 +33,7 @@
   metrics.directive("file", "replaced as a whole at SIGUSR1")
       .path("FILE")
       .required()
-      .take([&into](const Given& given) { return into.metrics_file = given.text(0), std::string(); });
+      .on_parsed([&into](const Given& given) { return into.metrics_file = given.text(0), std::string(); });
   spool::register_spool(schema, into.spool);
   edge::register_edge(schema, into.edge);
   routes::register_routes(schema, into.routes);
@@ -40,9 +41,9 @@
 
 namespace {
 
-void throw_on_faults(const conf::Document& document, const std::vector<conf::Fault>& faults) {
+void throw_on_faults(const conf::Document& document, const std::vector<conf::Diagnostic>& faults) {
   if (faults.empty()) return;
-  std::string message = conf::render(document, faults);
+  std::string message = conf::render_diagnostics(document, faults);
   message.pop_back();
   throw std::runtime_error("operator's file cannot be used:\n" + message);
 }
@@ -67,7 +68,7 @@
                                 const NameTables& tables) {
   std::vector<routes::Wrong> wrong;
   routes::RouteSet set = routes::checked(conf.routes, settings, tables, wrong);
-  std::vector<conf::Fault> faults;
+  std::vector<conf::Diagnostic> faults;
   for (const routes::Wrong& one : wrong) {
     // Mark the whole directive in the message.
     const std::string& line = conf.document.lines.at(one.line - 1);
--- a/src/server.cpp
+++ b/src/server.cpp
@@ -49,7 +49,7 @@
 
 void Server::create_components(spool::Substitutes substitutes, std::unique_ptr<spool::Index> ledger) {
   if (operator_conf_.path.empty()) return;
-  log_.set(operator_conf_.log);
+  log_.configure(operator_conf_.log);
   const std::string fault = limit_violation(operator_conf_, config_.memory_mb, config_.sockets);
   if (!fault.empty()) throw std::runtime_error(operator_conf_.path + ": " + fault);
   metrics_ = std::make_unique<Metrics>();
@@ -91,7 +91,7 @@
   signals_.add(SIGHUP);
   if (!operator_conf_.metrics_file.empty()) signals_.add(SIGUSR1);
   await_signal();
-  release_signals();
+  unblock_signals();
   coordinator_.start();
   directory_.load_saved(config_.known_list);
   directory_.follow();
@@ -104,7 +104,7 @@
     readers_->set_ready(true);
     const std::string address =
         reader_endpoint_.address().to_string() + ':' + std::to_string(reader_endpoint_.port());
-    log_.event(Level::kInfo, "spool-listening", {{"address", address}});
+    log_.event(LogLevel::kInfo, "spool-listening", {{"address", address}});
   }
   if (edge_fronts_) {
     const auto at = parse_address(operator_conf_.edge.listen);
@@ -114,7 +114,7 @@
     edge_endpoint_ = edge_fronts_->listen(*at);
     const std::string address =
         edge_endpoint_.address().to_string() + ':' + std::to_string(edge_endpoint_.port());
-    log_.event(Level::kInfo, "edge-listening",
+    log_.event(LogLevel::kInfo, "edge-listening",
                {{"address", address}, {"home", operator_conf_.edge.logic.home}});
   }
   listen_until_ = std::chrono::steady_clock::now() + kListenTimeout;
@@ -130,14 +130,14 @@
   if (!error) {
     endpoint_ = at;
     front_.set_ready(true);
-    return log_.line("serving as " + config_.name);
+    return log_.message("serving as " + config_.name);
   }
   const std::string address =
       config_.listen.address().to_string() + ':' + std::to_string(config_.listen.port());
   if (error != boost::asio::error::address_in_use || std::chrono::steady_clock::now() >= listen_until_)
     throw std::runtime_error("cannot listen at " + address + ": " + error.message());
   if (!std::exchange(logged_address_held_, true))
-    log_.line("the address " + address + " is held by another process, waiting");
+    log_.message("the address " + address + " is held by another process, waiting");
   grace_timer_.expires_after(kListenRetryInterval);
   grace_timer_.async_wait([this](boost::system::error_code e) {
     if (!e) listen_for_clients();
@@ -172,11 +172,11 @@
     }
     if (!fault.empty()) throw std::runtime_error(operator_conf_.path + ": " + fault);
     routes::RouteSet set = resolve_routes(conf, config_.settings, config_.tables);
-    log_.line("configuration read again");
+    log_.message("configuration read again");
     directory_.move_to(new_config.directory);
     if (operator_conf_.path.empty()) return;
     operator_conf_ = std::move(conf);
-    log_.set(operator_conf_.log);
+    log_.configure(operator_conf_.log);
     apply_routes(std::move(set));
     if (spool_) {
       spool_->reconfigure(operator_conf_.spool);
@@ -187,7 +187,7 @@
       edge_fronts_->set_limits(edge_limits());
     }
   } catch (const std::exception& fault) {
-    log_.line(std::string("configuration kept as it was: ") + fault.what());
+    log_.message(std::string("configuration kept as it was: ") + fault.what());
   }
 }
 
@@ -230,7 +230,7 @@
 
 void Server::stop() {
   if (std::exchange(stopping_, true)) return;
-  log_.line("stopping, " + std::to_string(coordinator_.unanswered()) + " requests open");
+  log_.message("stopping, " + std::to_string(coordinator_.unanswered()) + " requests open");
   front_.set_ready(false);
   if (readers_) readers_->set_ready(false);
   if (edge_) edge_->drain();
@@ -241,8 +241,8 @@
                                       kFinalAnswerMargin);
     final_answer_timer_.async_wait([this](boost::system::error_code error) {
       if (error || coordinator_.unanswered() == 0) return;
-      log_.line("answering " + std::to_string(coordinator_.unanswered()) +
-                " requests that cannot end any more");
+      log_.message("answering " + std::to_string(coordinator_.unanswered()) +
+                   " requests that cannot end any more");
       coordinator_.answer_all();
     });
   }
@@ -270,15 +270,17 @@
   if (edge_) edge_->update_metrics();
   if (routes_) routes_->observe();
   if (!file_writer_) file_writer_ = std::make_unique<Worker>(1);
-  const bool queued = file_writer_->post([this, path = operator_conf_.metrics_file, text = metrics_->text()] {
-    const std::string fault = replace_file(path, text);
-    boost::asio::post(strand_, [this, fault] {
-      if (fault.empty()) return log_.event(Level::kInfo, "metrics-written", {});
-      log_.event(Level::kWarn, "metrics-not-written", {{"cause", fault}});
-    });
-  });
+  const bool queued =
+      file_writer_->post([this, path = operator_conf_.metrics_file, text = metrics_->serialize()] {
+        const std::string fault = replace_file(path, text);
+        boost::asio::post(strand_, [this, fault] {
+          if (fault.empty()) return log_.event(LogLevel::kInfo, "metrics-written", {});
+          log_.event(LogLevel::kWarn, "metrics-not-written", {{"cause", fault}});
+        });
+      });
   if (!queued)
-    log_.event(Level::kWarn, "metrics-not-written", {{"cause", "the last metrics are still being written"}});
+    log_.event(LogLevel::kWarn, "metrics-not-written",
+               {{"cause", "the last metrics are still being written"}});
 }
 
 // The last answers have to be written to their sockets before the process ends.
@@ -299,8 +301,8 @@
 
 void Server::end() {
   if (coordinator_.unanswered() > 0)
-    log_.line("requests that never got their answer: " + std::to_string(coordinator_.unanswered()));
-  log_.line("ended, " + std::to_string(log_.broken_count()) + " invariants broken");
+    log_.message("requests that never got their answer: " + std::to_string(coordinator_.unanswered()));
+  log_.message("ended, " + std::to_string(log_.broken_invariant_count()) + " invariants broken");
   io_.stop();
 }
 
--- a/src/spool/logic/spool_logic.h
+++ b/src/spool/logic/spool_logic.h
@@ -146,7 +146,7 @@
 
   // Ends results whose lease has expired. next_expiry() is when it has to be called again, if at all.
   void expire_leases(Micros now, std::vector<SpoolAction>& out);
-  std::optional<Micros> next_expiry() const { return lease_timers_.next(); }
+  std::optional<Micros> next_expiry() const { return lease_timers_.next_wakeup(); }
 
   // ---- Queries ----
   struct View {
@@ -178,7 +178,7 @@
     std::string handle;
     ReaderId reader{kNoReader};
     Micros give_up_at{0}, expires_at{0};
-    TimingWheel::Timer timer{TimingWheel::kNone};
+    TimingWheel::TimerId timer{TimingWheel::kNoTimer};
     PageIndex index;
     Bytes charged{0}, received{0};
     std::uint64_t sent_rows{0}, acknowledged{0};  // row counts
--- a/src/spool/spool.cpp
+++ b/src/spool/spool.cpp
@@ -153,7 +153,7 @@
     }
   }
   metrics_.lost.Increment(static_cast<double>(recovery.lost));
-  log_.event(recovery.usable && recovery.lost == 0 ? Level::kInfo : Level::kWarn, "spool-recovered",
+  log_.event(recovery.usable && recovery.lost == 0 ? LogLevel::kInfo : LogLevel::kWarn, "spool-recovered",
              {{"whole", recovery.intact.size()},
               {"expired", recovery.expired},
               {"lost", recovery.lost},
@@ -250,7 +250,7 @@
   if (buffer.failure) {
     delivery.reason = *buffer.failure;
     metrics_.full.Increment();
-    log_.event(Level::kWarn, "spool-refused",
+    log_.event(LogLevel::kWarn, "spool-refused",
                {{"why", name(delivery.reason)},
                 {"pages", buffer.received.size()},
                 {"memory", logic_.memory().used()}});
@@ -372,7 +372,7 @@
                     window_sent(pending.id, window);
                   } else if (view && error != StoreError::kBusy) {
                     metrics_.corrupt.Increment();
-                    log_.event(Level::kError, "spool-result-lost", {{"pages", view->index->page_count()}});
+                    log_.event(LogLevel::kError, "spool-result-lost", {{"pages", view->index->page_count()}});
                     end_request(pending.id, EndReason::kLost);
                   }
                   pages.reset();
@@ -466,22 +466,22 @@
   for (std::size_t page = 0; page < view->index->page_count(); ++page)
     meta.pages.push_back({static_cast<std::uint32_t>(view->index->rows_of(page)),
                           static_cast<std::uint32_t>(view->index->bytes_of(page))});
-  disk_->put(std::move(meta), buffer->second.pages,
-             [this, id = store.id](StoreError error, std::uint64_t on_disk) {
-               if (error == StoreError::kNone) {
-                 metrics_.stored.Increment();
-                 logic_.store_succeeded(id, on_disk);
-                 const auto view = logic_.view(id);
-                 if (view && view->on_disk) buffers_.erase(id);
-                 return;
-               }
-               metrics_.not_stored.Increment();
-               if (error == StoreError::kClosed && logic_.disk_usable()) {
-                 log_.event(Level::kError, "spool-disk-closed", {{"cause", "a write or a sync has failed"}});
-                 logic_.disk_failed();
-               }
-               logic_.store_failed(id);
-             });
+  disk_->put(
+      std::move(meta), buffer->second.pages, [this, id = store.id](StoreError error, std::uint64_t on_disk) {
+        if (error == StoreError::kNone) {
+          metrics_.stored.Increment();
+          logic_.store_succeeded(id, on_disk);
+          const auto view = logic_.view(id);
+          if (view && view->on_disk) buffers_.erase(id);
+          return;
+        }
+        metrics_.not_stored.Increment();
+        if (error == StoreError::kClosed && logic_.disk_usable()) {
+          log_.event(LogLevel::kError, "spool-disk-closed", {{"cause", "a write or a sync has failed"}});
+          logic_.disk_failed();
+        }
+        logic_.store_failed(id);
+      });
 }
 
 void Spool::arm_lease_timer() {
--- a/tests/spool/story_test.cpp
+++ b/tests/spool/story_test.cpp
@@ -68,7 +68,7 @@
 }
 
 double metric_value(Site& site, const std::string& name) {
-  const std::string text = site.server->metrics()->text();
+  const std::string text = site.server->metrics()->serialize();
   const std::size_t at = text.find('\n' + name + ' ');
   return at == std::string::npos ? -1 : std::stod(text.substr(at + name.size() + 2));
 }
