--- a/src/gateway.cpp
+++ b/src/gateway.cpp
@@ -1,8 +1,8 @@
 // Implements include/steprail/gateway.h: admission, choice of the engine, retries, health and fairness of one
 // gateway. docs/design.md gives the reasons behind the design.
 //
-// Costs, backlogs and their limits are in estimated milliseconds. A class's aim is the time within which an
-// answer earns its full worth; a request's soft deadline is its arrival plus its aim.
+// Costs, backlogs and their limits are in estimated milliseconds. A request's target time is the time within
+// which an answer earns its full worth; its soft deadline is its arrival plus its target time.
 #define XXH_INLINE_ALL
 #include "steprail/gateway.h"
 
@@ -23,8 +23,8 @@
 constexpr Micros kControlPeriod{1'000'000};
 // Housekeeping: fine compared with the control period, coarse compared with network latency.
 constexpr Micros kTickInterval = kControlPeriod / 10;
-// Labels of the two kinds of timers: the tick, which always runs, and the end of a pause before a retry.
-constexpr std::uint64_t kTickTimerLabel = 1, kRetryPauseTimerLabel = 2;
+// Labels of the two kinds of timers: the tick, which always runs, and the end of a retry delay.
+constexpr std::uint64_t kTickTimerLabel = 1, kRetryDelayTimerLabel = 2;
 
 // The PI loop compares the mean delay ratio (the paper's DDR: an attempt's delay over its request's slack)
 // with this set point, S_t of the paper's SLA.
@@ -33,15 +33,15 @@
 constexpr double kProportionalGain = 1.0;
 // K_I. The paper's 3.62 makes the limit oscillate once delays span several control periods.
 constexpr double kIntegralGain = 0.5;
-// A request's slack factor is this part of its class's mean aim over its mean run time.
-constexpr double kSlackFactorPerAimRatio = 0.25;
+// A request's slack factor is this part of its class's mean target time over its mean run time.
+constexpr double kSlackFactorPerTargetTimeRatio = 0.25;
 // The range of slack factors in the paper.
 constexpr double kMinSlackFactor = 1.5, kMaxSlackFactor = 4.5;
 // Cap on one sample, so that a single overdue attempt cannot dominate a mean.
 constexpr double kMaxDelayRatio = 4;
-// The limit that an engine starts with is this many mean aims' worth of work on all its cores, divided among
-// the gateways that share it.
-constexpr double kStartLimitAims = 0.4;
+// The limit that an engine starts with is this many mean target times' worth of work on all its cores,
+// divided among the gateways that share it.
+constexpr double kStartLimitTargetTimes = 0.4;
 // From this many samples on, an engine's own mean delay ratio is used alone; below, the pool's mean fills in.
 constexpr double kMinDelaySamples = 8;
 // With many gateways: the part of the last step of the limit that is forgotten, and what is added to the gain
@@ -160,7 +160,7 @@
       listed{},   // on the engine list, and ready
       ejected{};  // by outlier ejection: gets trials and probes only
   std::uint64_t name_hash{};
-  EngineStatus standing{EngineStatus::kReady};
+  EngineStatus status{EngineStatus::kReady};
   int zone{}, kind{}, cell{};
   Micros started_at{0};   // 0: long ago
   double backlog{},       // cost of this gateway's attempts in flight
@@ -208,7 +208,7 @@
   std::vector<Attempt> attempts;
   bool finished{}, over_quota{};
   int possible_run_engine{-1};  // where an attempt may have run first, and when that one was sent
-  Micros possible_run_at{0}, paused_until{0};
+  Micros possible_run_at{0}, retry_at{0};
   std::shared_ptr<const RouteParameters> route;
   bool attempt_in_flight() const { return !attempts.empty() && attempts.back().open; }
 };
@@ -297,13 +297,13 @@
                             : mean_work(request.cls);
     request.cost_ms = std::clamp(work * time_per_work_, 1.0, kMaxCostMs);
     request.run_time_ms = std::max(1.0, request.cost_ms / class_of(request).threads);
-    const double aim_ms =
+    const double target_time_ms =
         to_ms(class_of(request).objective) + class_of(request).aim_stretch * request.run_time_ms;
     const double slack_factor =
         (to_ms(class_of(request).objective) / mean_run_time(request.cls) + class_of(request).aim_stretch) *
-        kSlackFactorPerAimRatio;
+        kSlackFactorPerTargetTimeRatio;
     request.slack = from_ms(std::clamp(slack_factor, kMinSlackFactor, kMaxSlackFactor) * request.run_time_ms);
-    request.soft_deadline = request.received_at + from_ms(aim_ms);
+    request.soft_deadline = request.received_at + from_ms(target_time_ms);
     observed_cost_.add(std::min(request.cost_ms, kMaxCostRatio * mean_cost()));
   }
 
@@ -313,19 +313,19 @@
   void learn_from_answer(const Request& request, const AttemptClosed& closed) {
     const double measured_thread_ms = to_ms(closed.delay) * class_of(request).threads;
     double work = settings_.reports_cost ? closed.actual_work_ms : 0;
-    ClassState& class_state = classes_[static_cast<std::size_t>(request.cls)];
+    ClassState& learned = classes_[static_cast<std::size_t>(request.cls)];
     if (work > 0) {
       const double expected_work = request.cost_ms / time_per_work_;
       work = std::clamp(work, expected_work / kMaxCostRatio, expected_work * kMaxCostRatio);
       if (request.work_estimate_ms > 0 && std::isfinite(request.work_estimate_ms))
-        class_state.work_correction.add(work / std::min(request.work_estimate_ms, kMaxCostMs));
+        learned.work_correction.add(work / std::min(request.work_estimate_ms, kMaxCostMs));
       if (request.memory_estimate_mb > 0)
-        class_state.memory_correction.add(std::clamp(closed.actual_memory_mb / request.memory_estimate_mb,
-                                                     1 / kMaxCostRatio, kMaxCostRatio));
+        learned.memory_correction.add(std::clamp(closed.actual_memory_mb / request.memory_estimate_mb,
+                                                 1 / kMaxCostRatio, kMaxCostRatio));
     } else {
       work = request.cost_ms / time_per_work_;
     }
-    class_state.work.add(work);
+    learned.work.add(work);
     const double measured_time_per_work =
         std::clamp(measured_thread_ms / work, 1 / kMaxCostRatio, kMaxCostRatio);
     // Follows the fastest answers quickly and forgets them slowly.
@@ -341,10 +341,12 @@
 
   // The backlog limit that follows from the settings alone, before any delay was measured.
   double start_limit(const Engine& engine) const {
-    double mean_aim_ms = 0;
+    double mean_target_time_ms = 0;
     for (const ClassSettings& c : settings_.classes)
-      mean_aim_ms += to_ms(c.objective) * (1 + c.aim_stretch) / static_cast<double>(settings_.classes.size());
-    return std::floor(kStartLimitAims * mean_aim_ms * cores(engine) / gateways_sharing(engine));
+      mean_target_time_ms +=
+          to_ms(c.objective) * (1 + c.aim_stretch) / static_cast<double>(settings_.classes.size());
+    return std::floor(kStartLimitTargetTimes * mean_target_time_ms * cores(engine) /
+                      gateways_sharing(engine));
   }
 
   // How many gateways an engine's capacity is divided among: all of them while the engine can run a query of
@@ -579,7 +581,8 @@
         order.push_back(i);
     }
     for (const auto& [_, i] : draws) order.push_back(i);
-    if (avoided_engine >= 0) order.push_back(avoided_engine);  // effect or placement may leave no other one
+    // Idempotency or placement may leave no other one.
+    if (avoided_engine >= 0) order.push_back(avoided_engine);
     return order;
   }
 
@@ -587,7 +590,7 @@
   // limit, and gives a final answer if there is none. A request that waits for others of its key stays
   // queued.
   void dispatch(RequestId id, Request& request) {
-    if (request.finished || request.attempt_in_flight() || now_ < request.paused_until) return;
+    if (request.finished || request.attempt_in_flight() || now_ < request.retry_at) return;
     if (!is_next_of_key(id, request)) {
       // Stays queued, unless its deadline would pass before the queue is looked at again.
       if (deadline_is_near(request)) finish(id, request, AnswerReason::kDeadlineNear);
@@ -669,14 +672,14 @@
   }
 
   // Looks for attempts without any response for far too long: for several intervals where the engines promise
-  // progress messages, else for a multiple of the expected run time.
+  // progress reports, else for a multiple of the expected run time.
   void check_silent_engines() {
     std::map<int, int> overdue;
     for (auto& [id, request] : requests_) {
       if (!request.attempt_in_flight() || request.attempts.back().streaming) continue;
       const Attempt& attempt = request.attempts.back();
       const Engine& engine = engines_[static_cast<std::size_t>(attempt.engine)];
-      // Progress messages of this attempt are missing while others of its engine arrive: its connection is
+      // Progress reports of this attempt are missing while others of its engine arrive: its connection is
       // dead, or its answer was lost.
       if (now_ - attempt.last_response_at > 3 * settings_.progress_interval &&
           now_ - engine.last_response_at < settings_.progress_interval)
@@ -691,10 +694,10 @@
     }
     for (const auto& [i, count] : overdue) {
       Engine& engine = engines_[static_cast<std::size_t>(i)];
-      // Without progress messages a single overdue attempt may just be a slow query.
+      // Without progress reports a single overdue attempt may just be a slow query.
       if (count < 2 && settings_.progress_interval.count() == 0) continue;
       add_failure_score(engine, kAttemptFailureScore);
-      // Repeatable queries leave a silent engine once it is ejected; others cannot be retried safely.
+      // Idempotent queries leave a silent engine once it is ejected; others cannot be retried safely.
       for (auto& [id, request] : requests_)
         if (engine.ejected && request.attempt_in_flight() && request.attempts.back().engine == i)
           cancel_for_retry(id, request);
@@ -710,7 +713,7 @@
                : settings_.max_attempts;
   }
 
-  // Whether the running attempt may be cancelled in favour of a new one that can still end before the
+  // Whether the attempt in flight may be cancelled in favour of a new one that can still end before the
   // deadline.
   bool retry_is_worthwhile(const Request& request) const {
     return settings_.may_cancel && class_of(request).idempotency == Idempotency::kIdempotent &&
@@ -719,7 +722,7 @@
            retry_budget_allows(request) && to_ms(request.deadline - now_) > expected_run_time(request);
   }
 
-  // Cancels the running attempt if a retry is worthwhile; the retry follows when the attempt's end is
+  // Cancels the attempt in flight if a retry is worthwhile; the retry follows when the attempt's end is
   // reported.
   bool cancel_for_retry(RequestId id, Request& request) {
     Attempt& attempt = request.attempts.back();
@@ -736,7 +739,7 @@
           ->attempt_timeouts[std::min(request.attempts.size(), request.route->attempt_timeouts.size() - 1)];
     const bool retry_possible = class_of(request).idempotency == Idempotency::kIdempotent &&
                                 static_cast<int>(request.attempts.size()) + 1 < max_attempts(request);
-    // With progress messages, their absence shows a lost attempt sooner, and their pace one that is too slow.
+    // With progress reports, their absence shows a lost attempt sooner, and their pace one that is too slow.
     if (!retry_possible || (oversubscription_ > 0 && settings_.progress_interval.count() > 0))
       return Micros{0};
     return from_ms(std::max(kAttemptTimeoutShare * to_ms(request.deadline - now_),
@@ -745,7 +748,7 @@
 
   // ---- 6. Guards ----
 
-  // Whether one more retry fits the route's budget and the settings' ratio of retries to arrivals.
+  // Whether one more retry fits the route's retry budget and the settings'.
   bool retry_budget_allows(const Request& request) const {
     if (request.route && request.route->retry_budget_ratio && retry_budgets_.at(request.route->id) < 1)
       return false;
@@ -800,17 +803,17 @@
     return pool < pools_.size() && member < pools_[pool].size() && pools_[pool][member];
   }
 
-  // Waits for the route's pause, with jitter, before the next attempt. A request whose next attempt could not
-  // end in time after the pause, or may not be made at all, is answered at once.
-  void pause_before_retry(RequestId id, Request& request) {
-    const double pause_ms =
+  // Waits for the route's retry delay, with jitter, before the next attempt. A request whose next attempt
+  // could not end in time after the delay, or may not be made at all, is answered at once.
+  void delay_retry(RequestId id, Request& request) {
+    const double delay_ms =
         to_ms(request.route->retry_delay) * (1 + request.route->retry_jitter * (2 * uniform() - 1));
-    request.paused_until = now_ + from_ms(pause_ms);
-    if (request.paused_until + from_ms(expected_run_time(request)) >= request.deadline)
+    request.retry_at = now_ + from_ms(delay_ms);
+    if (request.retry_at + from_ms(expected_run_time(request)) >= request.deadline)
       return finish(id, request, AnswerReason::kDeadlineNear);
     if (!may_retry(request)) return finish(id, request, AnswerReason::kAttemptsUsedUp);
-    paused_requests_.emplace(request.paused_until, id);
-    emit(Timer{request.paused_until, kRetryPauseTimerLabel});
+    delayed_retries_.emplace(request.retry_at, id);
+    emit(Timer{request.retry_at, kRetryDelayTimerLabel});
   }
 
   // Whether a retry is possible at all, on whichever engine and after whatever wait.
@@ -826,10 +829,10 @@
     return permitted.empty() || std::find(permitted.begin(), permitted.end(), index) != permitted.end();
   }
 
-  // Whether a retry on this engine cannot make the request take effect twice: always for repeatable requests,
+  // Whether a retry on this engine cannot make the request take effect twice: always for idempotent requests,
   // never for those that may run once only, and for requests deduplicated by key where the engine shares the
   // deduplication scope of the first possible run, within the deduplication window.
-  bool effect_allows(const Request& request, int engine) const {
+  bool idempotency_allows(const Request& request, int engine) const {
     if (request.possible_run_engine < 0 || class_of(request).idempotency == Idempotency::kIdempotent)
       return true;
     if (class_of(request).idempotency == Idempotency::kNone ||
@@ -859,12 +862,12 @@
       return false;
     if (static_cast<int>(request.attempts.size()) >= max_attempts(request) || !in_pool(request, index))
       return false;
-    if (!engine.listed || engine.standing != EngineStatus::kReady) return false;
+    if (!engine.listed || engine.status != EngineStatus::kReady) return false;
     if (!allowed(class_of(request).zones, engine.zone) || !allowed(class_of(request).kinds, engine.kind))
       return false;
-    if (!effect_allows(request, index) || !slow_start_allows(engine, request)) return false;
+    if (!idempotency_allows(request, index) || !slow_start_allows(engine, request)) return false;
     if (!request.attempts.empty() && !retry_budget_allows(request)) return false;
-    update_terms(id, request, engine);
+    update_resources(id, request, engine);
     emit(Send{id, index, attempt_timeout(request)});
     if (!request.attempts.empty()) retry_times_.push_back(now_);
     if (!request.attempts.empty() && request.route && request.route->retry_budget_ratio)
@@ -939,7 +942,7 @@
   // Whether the deadline comes within the next two ticks.
   bool deadline_is_near(const Request& request) const { return now_ + 2 * kTickInterval >= request.deadline; }
 
-  // ---- 7. Fairness and terms ----
+  // ---- 7. Fairness and resources ----
 
   // Takes a token from the tenant's bucket for this gateway's part of the quota; true if there was none.
   bool exceeds_quota(int tenant) {
@@ -976,23 +979,23 @@
   // Memory in MB for the next attempt: the route's figure, or the client's estimate once enough answers have
   // corrected it. 0 leaves the amount to the engine.
   double memory_grant(const Request& request, const Engine& engine) const {
-    const auto& class_state = classes_[static_cast<std::size_t>(request.cls)];
+    const auto& learned = classes_[static_cast<std::size_t>(request.cls)];
     const double max_memory_mb =
         settings_.max_memory_share * settings_.kinds[static_cast<std::size_t>(engine.kind)].memory_mb;
     if (settings_.honors_memory && request.route && request.route->memory_mb > 0)
       return std::min(max_memory_mb, request.route->memory_mb);
     if (!settings_.honors_memory || request.memory_estimate_mb <= 0 ||
-        class_state.memory_correction.weight < kMinCorrectionSamples)
+        learned.memory_correction.weight < kMinCorrectionSamples)
       return 0;
     return std::min(max_memory_mb,
-                    request.memory_estimate_mb * class_state.memory_correction.get(1) * kMemoryMargin);
+                    request.memory_estimate_mb * learned.memory_correction.get(1) * kMemoryMargin);
   }
 
   // Passes on the memory grant and the priority, if there is a grant or the priority has changed.
-  void update_terms(RequestId id, Request& request, const Engine& engine) {
-    const SetResources terms{id, memory_grant(request, engine), priority(request)};
-    if (terms.memory_mb > 0 || terms.priority != request.priority) emit(terms);
-    request.priority = terms.priority;
+  void update_resources(RequestId id, Request& request, const Engine& engine) {
+    const SetResources resources{id, memory_grant(request, engine), priority(request)};
+    if (resources.memory_mb > 0 || resources.priority != request.priority) emit(resources);
+    request.priority = resources.priority;
   }
 
   // ---- Events ----
@@ -1004,11 +1007,11 @@
 
   // Updates the engine list. A new or restarted engine starts with what the settings say, and a part of the
   // limit is held back where many gateways would fill it at once.
-  void on(const ListUpdate& news) {
-    if (news.mode == ListMode::kFailed) return void(resubscribe_at_ = now_ + kControlPeriod);
+  void on(const ListUpdate& update) {
+    if (update.mode == ListMode::kFailed) return void(resubscribe_at_ = now_ + kControlPeriod);
     for (Engine& engine : engines_)
-      if (news.mode != ListMode::kIncremental) engine.listed = false, engine.standing = EngineStatus::kGone;
-    for (const EngineEntry& entry : news.entries) {
+      if (update.mode != ListMode::kIncremental) engine.listed = false, engine.status = EngineStatus::kGone;
+    for (const EngineEntry& entry : update.entries) {
       if (entry.engine < 0 || entry.engine >= kMaxEngines || entry.kind < 0 ||
           entry.kind >= static_cast<int>(settings_.kinds.size()))
         continue;
@@ -1019,7 +1022,7 @@
       const bool restarted = engine.known && entry.started_at > engine.started_at;
       engine.zone = entry.zone, engine.kind = entry.kind, engine.cell = entry.cell,
       engine.name_hash = entry.name_hash;
-      engine.standing = entry.status;
+      engine.status = entry.status;
       engine.started_at = std::max(engine.started_at, entry.started_at);
       engine.listed = entry.status == EngineStatus::kReady;
       if (!engine.known || restarted) {
@@ -1034,9 +1037,9 @@
     update_ejections();
   }
 
-  // Replaces the routes. Budgets of routes that remain, or that open requests still use, are kept.
-  void on(const RoutesUpdate& news) {
-    routes_ = news.routes, pools_ = news.pools;
+  // Replaces the routes. Retry budgets of routes that remain, or that open requests still use, are kept.
+  void on(const RoutesUpdate& update) {
+    routes_ = update.routes, pools_ = update.pools;
     std::map<int, double> budgets;
     for (const auto& route : routes_)
       budgets[route->id] =
@@ -1086,7 +1089,7 @@
                                                                                      : nullptr;
   }
 
-  // The client has gone: nothing more is sent for its request, and a running attempt is cancelled.
+  // The client has gone: nothing more is sent for its request, and an attempt in flight is cancelled.
   void on(const ClientGone& event) {
     const auto entry = requests_.find(event.id);
     if (entry == requests_.end() || entry->second.finished) return;
@@ -1107,20 +1110,20 @@
         request->attempts[static_cast<std::size_t>(event.attempt)].engine)]);
   }
 
-  // A progress message of a running attempt: a sign of life, a wait for a load, or the part of the work done.
-  // By the latter a slow attempt is retried elsewhere, or given up if it cannot end in time.
-  void on(const ProgressReport& note) {
-    Request* request = request_of_open_attempt(note.id, note.attempt);
+  // A progress report of an attempt in flight: a response of the engine, a wait for a load, or the part of
+  // the work done. By the latter a slow attempt is retried elsewhere, or given up if it cannot end in time.
+  void on(const ProgressReport& progress) {
+    Request* request = request_of_open_attempt(progress.id, progress.attempt);
     if (request == nullptr) return;
-    Attempt& attempt = request->attempts[static_cast<std::size_t>(note.attempt)];
+    Attempt& attempt = request->attempts[static_cast<std::size_t>(progress.attempt)];
     Engine& engine = engines_[static_cast<std::size_t>(attempt.engine)];
     attempt.last_response_at = now_;
     record_response(engine);
     if (settings_.honors_priority && !request->finished && priority(*request) != request->priority)
-      update_terms(note.id, *request, engine);
-    if (note.topic == ProgressTopic::kWaiting && note.value >= 2)
+      update_resources(progress.id, *request, engine);
+    if (progress.topic == ProgressTopic::kWaiting && progress.value >= 2)
       engine.group_held_until[request->group] = now_ + 2 * settings_.progress_interval;
-    if (note.topic != ProgressTopic::kProgress || !std::isfinite(note.value)) return;
+    if (progress.topic != ProgressTopic::kProgress || !std::isfinite(progress.value)) return;
     // An attempt that would end after its soft deadline here, and much sooner elsewhere, is retried; but not
     // one that loads would block on every engine. Where the estimate was far too low this does harm: the new
     // attempt takes as long, and the work done is lost.
@@ -1129,30 +1132,31 @@
     };
     if (class_of(*request).yields_to_load && std::all_of(engines_.begin(), engines_.end(), no_better)) return;
     const double elapsed_ms = to_ms(now_ - attempt.sent_at);
-    const double remaining_ms = elapsed_ms / std::clamp(note.value, 0.01, 1.0) - elapsed_ms;
+    const double remaining_ms = elapsed_ms / std::clamp(progress.value, 0.01, 1.0) - elapsed_ms;
     record_slowdown(engine, *request, elapsed_ms + remaining_ms);
     const double fresh_run_time = expected_run_time(*request) * 1.5;
     const bool is_slow = remaining_ms > kMinRetrySpeedup * fresh_run_time &&
                          now_ + from_ms(remaining_ms) > request->soft_deadline;
     if (is_slow && (oversubscription_ <= 0 || slow_retry_credit_ >= 1) &&
-        cancel_for_retry(note.id, *request)) {
+        cancel_for_retry(progress.id, *request)) {
       slow_retry_credit_ -= 1;
     } else if (oversubscription_ > 0 && !request->finished && !attempt.cancelled && !attempt.streaming &&
                settings_.may_cancel && now_ + from_ms(remaining_ms / kHopelessFactor) > request->deadline) {
       // It cannot end in time, and takes the engine from queries that can.
       attempt.cancelled = true;
-      emit(Cancel{note.id, note.attempt});
-      finish(note.id, *request, AnswerReason::kCannotFinish);
+      emit(Cancel{progress.id, progress.attempt});
+      finish(progress.id, *request, AnswerReason::kCannotFinish);
     }
   }
 
-  // Takes the load from a report: the part of the cores in use, or more where the queries in hand say so.
+  // Takes the load from a report: the part of the cores in use, or more where the number of queries that the
+  // engine holds says so.
   void record_load_report(Engine& engine, const LoadReport& report) {
     auto load = report.cpu_utilisation;
     reports_count_queries_ = report.in_flight.has_value();
     if (report.in_flight) {
-      // Cores fall idle where queries wait for disks or memory: there the number of queries in hand shows the
-      // load, and the use of the cores does not.
+      // Cores fall idle where queries wait for disks or memory: there the number of queries that the engine
+      // holds shows the load, and the use of the cores does not.
       const double threads_per_core = *report.in_flight * observed_threads_.get(1) / cores(engine);
       if (!load || oversubscription_ > 0)
         load = load ? std::max(*load, threads_per_core / kMaxUsefulThreadsPerCore) : threads_per_core;
@@ -1208,7 +1212,7 @@
       engine.backlog_limit = std::max(
           std::ceil(mean_cost()), std::min(engine.backlog_limit, engine.backlog + backlog_of_others(engine))),
       engine.limit_delta = 0;
-    // An engine on which an attempt timed out is at least that slow. Without progress messages the timeout
+    // An engine on which an attempt timed out is at least that slow. Without progress reports the timeout
     // shows nothing of its speed, as the engine may have lost the attempt.
     if (closed.outcome == Outcome::kTimedOut && settings_.progress_interval.count() > 0)
       record_slowdown(engine, request, to_ms(closed.delay));
@@ -1229,7 +1233,7 @@
     } else if (now_ >= request.deadline) {
       finish(closed.id, request, AnswerReason::kDeadlinePassed);
     } else if (request.route && request.route->retry_delay.count() > 0) {
-      pause_before_retry(closed.id, request);
+      delay_retry(closed.id, request);
     } else {
       dispatch(closed.id, request);
     }
@@ -1247,16 +1251,16 @@
   // No decision depends on other gateways' messages.
   void on(const PeerMessage&) {}
 
-  // A timer is due: retries whose pause has ended, then the tick's housekeeping, and once per control period
+  // A timer is due: retries whose delay has ended, then the tick's housekeeping, and once per control period
   // the PI loop over all engines.
-  void on(const TimerFired& alarm) {
-    while (!paused_requests_.empty() && paused_requests_.begin()->first <= now_) {
-      const RequestId id = paused_requests_.begin()->second;
-      paused_requests_.erase(paused_requests_.begin());
+  void on(const TimerFired& timer) {
+    while (!delayed_retries_.empty() && delayed_retries_.begin()->first <= now_) {
+      const RequestId id = delayed_retries_.begin()->second;
+      delayed_retries_.erase(delayed_retries_.begin());
       const auto entry = requests_.find(id);
-      if (entry != requests_.end() && now_ >= entry->second.paused_until) dispatch(id, entry->second);
+      if (entry != requests_.end() && now_ >= entry->second.retry_at) dispatch(id, entry->second);
     }
-    if (alarm.label != kTickTimerLabel || now_ < next_tick_at_) return;
+    if (timer.label != kTickTimerLabel || now_ < next_tick_at_) return;
     next_tick_at_ = now_ + kTickInterval;
     emit(Timer{next_tick_at_, kTickTimerLabel});
     if (resubscribe_at_.count() > 0 && now_ >= resubscribe_at_ &&
@@ -1305,7 +1309,7 @@
       if (!engine.known) continue;
       // Replacement engines come under new names all the time: an engine that is gone is forgotten, except
       // for its slot.
-      if (!engine.listed && engine.attempts_in_flight == 0 && engine.standing != EngineStatus::kDraining) {
+      if (!engine.listed && engine.attempts_in_flight == 0 && engine.status != EngineStatus::kDraining) {
         engine.known = false, engine.warm_groups.clear(), engine.group_held_until.clear(),
         engine.slow_start_sends.clear();
         continue;
@@ -1344,9 +1348,9 @@
   std::map<std::uint64_t, KeyQueue> key_queues_;
   std::vector<std::shared_ptr<const RouteParameters>> routes_;
   std::vector<std::vector<bool>> pools_;
-  std::map<int, double> retry_budgets_;  // by the route's number: retries that may be made now
-  std::multimap<Micros, RequestId> paused_requests_;
-  // Within the look-back window of the settings' retry ratio.
+  std::map<int, double> retry_budgets_;  // by the route's id: retries that may be made now
+  std::multimap<Micros, RequestId> delayed_retries_;
+  // Within the window of the settings' retry budget.
   std::deque<Micros> arrival_times_, retry_times_;
   DecayingMean pool_loss_rate_, observed_cost_, observed_slack_, observed_threads_, pool_load_;
   double time_per_work_{1},  // ms that an ms of estimated work takes on a fast engine
@@ -1354,7 +1358,8 @@
       pool_delay_ratio_sum_{}, pool_delay_samples_{},
       trial_credit_{1},  // for trials and probes of ejected engines
       slow_retry_credit_{kMaxCredit};
-  // Load reports count the queries in hand, including those that wait for something else than cores.
+  // Load reports count the queries that the engine holds, including those that wait for something else than
+  // cores.
   bool reports_count_queries_{};
   // Part of the gateways whose queries an engine cannot run all at once: 0 where it has room for one of each,
   // near 1 where gateways are many. It scales whatever only a large fleet needs.
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -17,26 +17,26 @@
   return settings;
 }
 
-void answer(GatewayFixture& script, RequestId id, const LoadReport& report, Micros delay = 100ms) {
-  script.answer(id, delay, report);
+void answer(GatewayFixture& fixture, RequestId id, const LoadReport& report, Micros delay = 100ms) {
+  fixture.answer(id, delay, report);
 }
 
 // The cores of an engine that pages memory are idle. Every gateway took that for free capacity and sent more,
-// which made it worse. The number of queries that an engine reports in hand has to stop admission, however
+// which made it worse. The number of queries that an engine reports as held has to stop admission, however
 // idle its cores.
 TEST(Fleet, QueriesInHandCountAsLoadEvenWhereCoresAreIdle) {
   for (const auto& [in_flight, admitted] : std::vector<std::pair<double, int>>{{60, 0}, {1, 1}}) {
-    GatewayFixture script(fleet_settings(), 20);
+    GatewayFixture fixture(fleet_settings(), 20);
     RequestId id = 0;
     for (; id < 30; ++id) {
-      script.arrive(id);
-      if (script.count<Send>() == 0) continue;
-      script.advance(100ms);
-      answer(script, id, {.cpu_utilisation = 0.2, .in_flight = in_flight});
+      fixture.arrive(id);
+      if (fixture.count<Send>() == 0) continue;
+      fixture.advance(100ms);
+      answer(fixture, id, {.cpu_utilisation = 0.2, .in_flight = in_flight});
     }
-    script.arrive(++id, 1000);
-    EXPECT_EQ(script.count<Send>(), admitted) << in_flight << " in hand";
-    EXPECT_EQ(script.count<Refuse>(), 1 - admitted) << in_flight << " in hand";
+    fixture.arrive(++id, 1000);
+    EXPECT_EQ(fixture.count<Send>(), admitted) << in_flight << " in hand";
+    EXPECT_EQ(fixture.count<Refuse>(), 1 - admitted) << in_flight << " in hand";
   }
 }
 
@@ -44,43 +44,43 @@
 // far. Each gateway retried each of its queries four times, and the fleet did four times the work without an
 // answer.
 TEST(Fleet, RetriesOfSlowAttemptsAreLimitedByAnswers) {
-  GatewayFixture script(fleet_settings(), 20);
+  GatewayFixture fixture(fleet_settings(), 20);
   constexpr int kSlowQueries = 12;
-  for (RequestId id = 0; id < kSlowQueries; ++id) script.arrive(id, 100, 0, 20s);
+  for (RequestId id = 0; id < kSlowQueries; ++id) fixture.arrive(id, 100, 0, 20s);
   const auto report_slow_progress = [&](RequestId id) {
-    for (int attempt = 0; attempt < script.attempt_count[id]; ++attempt)
-      script.feed(
-          ProgressReport{.id = id, .attempt = attempt, .engine = script.engine_of[id], .value = 0.01});
+    for (int attempt = 0; attempt < fixture.attempt_count[id]; ++attempt)
+      fixture.feed(
+          ProgressReport{.id = id, .attempt = attempt, .engine = fixture.engine_of[id], .value = 0.01});
   };
   int cancelled = 0;
-  script.advance(500ms);
+  fixture.advance(500ms);
   for (RequestId id = 0; id < kSlowQueries; ++id) {
     report_slow_progress(id);
-    cancelled += script.count<Cancel>();
+    cancelled += fixture.count<Cancel>();
   }
   EXPECT_EQ(cancelled, 4);  // the credit for such retries at the start
   // Ten answers earn credit for one more retry.
   for (RequestId id = 100; id < 110; ++id) {
-    script.arrive(id);
-    script.advance(1ms);
-    answer(script, id, {.cpu_utilisation = 0.2, .in_flight = 1.0}, 1ms);
+    fixture.arrive(id);
+    fixture.advance(1ms);
+    answer(fixture, id, {.cpu_utilisation = 0.2, .in_flight = 1.0}, 1ms);
   }
   cancelled = 0;
   for (RequestId id = 0; id < kSlowQueries; ++id) {
     report_slow_progress(id);
-    cancelled += script.count<Cancel>();
+    cancelled += fixture.count<Cancel>();
   }
   EXPECT_LE(cancelled, 1);
 }
 
-// Sends queries and answers them, each with a report of so many queries in hand, so that the gateway takes
-// this for the engines' load. Returns the next free id.
-RequestId run_answered_queries(GatewayFixture& script, RequestId id, int answers, double in_flight) {
+// Sends queries and answers them, each with a report that the engine holds so many queries, so that the
+// gateway takes this for the engines' load. Returns the next free id.
+RequestId run_answered_queries(GatewayFixture& fixture, RequestId id, int answers, double in_flight) {
   for (int i = 0; i < answers; ++i, ++id) {
-    script.arrive(id);
-    if (script.count<Send>() == 0) continue;
-    script.advance(20ms);
-    answer(script, id, {.cpu_utilisation = 0.6, .in_flight = in_flight}, 20ms);
+    fixture.arrive(id);
+    if (fixture.count<Send>() == 0) continue;
+    fixture.advance(20ms);
+    answer(fixture, id, {.cpu_utilisation = 0.6, .in_flight = in_flight}, 20ms);
   }
   return id;
 }
@@ -90,13 +90,13 @@
 TEST(Fleet, ThePartAdmittedByAllGatewaysFallsGraduallyWithTheLoad) {
   std::map<double, int> admitted;
   for (const double in_flight : {4.0, 12.0, 14.0, 16.0, 40.0}) {
-    for (int gateway_number = 0; gateway_number < 300; ++gateway_number) {
+    for (int gateway_index = 0; gateway_index < 300; ++gateway_index) {
       Settings settings = fleet_settings();
-      settings.own_index = gateway_number;
-      GatewayFixture script(settings, 40, static_cast<std::uint64_t>(gateway_number) + 1);
-      const RequestId id = run_answered_queries(script, 0, 30, in_flight);
-      script.arrive(id);
-      admitted[in_flight] += script.count<Send>();
+      settings.own_index = gateway_index;
+      GatewayFixture fixture(settings, 40, static_cast<std::uint64_t>(gateway_index) + 1);
+      const RequestId id = run_answered_queries(fixture, 0, 30, in_flight);
+      fixture.arrive(id);
+      admitted[in_flight] += fixture.count<Send>();
     }
   }
   EXPECT_EQ(admitted[4], 300);
@@ -112,16 +112,16 @@
 TEST(Fleet, RecentReportsOutweighOldOnes) {
   int admitted = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
-    GatewayFixture script(fleet_settings(), 40, seed);
-    RequestId id = run_answered_queries(script, 0, 400, 1);
-    script.advance(5s);
+    GatewayFixture fixture(fleet_settings(), 40, seed);
+    RequestId id = run_answered_queries(fixture, 0, 400, 1);
+    fixture.advance(5s);
     std::vector<RequestId> pending;
-    for (int i = 0; i < 6; ++i) script.arrive(++id), pending.push_back(id);
-    script.advance(50ms);
+    for (int i = 0; i < 6; ++i) fixture.arrive(++id), pending.push_back(id);
+    fixture.advance(50ms);
     for (const RequestId pending_id : pending)
-      answer(script, pending_id, {.cpu_utilisation = 0.2, .in_flight = 60.0}, 50ms);
-    script.arrive(++id);
-    admitted += script.count<Send>();
+      answer(fixture, pending_id, {.cpu_utilisation = 0.2, .in_flight = 60.0}, 50ms);
+    fixture.arrive(++id);
+    admitted += fixture.count<Send>();
   }
   EXPECT_LE(admitted, 4);
 }
@@ -130,28 +130,28 @@
 // free for queries that can. A fleet that goes on working for clients that have given up never leaves an
 // overload.
 TEST(Fleet, AHopelessAttemptIsCancelledAndAnsweredAtOnce) {
-  for (const Idempotency effect : {Idempotency::kIdempotent, Idempotency::kNone}) {
+  for (const Idempotency idempotency : {Idempotency::kIdempotent, Idempotency::kNone}) {
     Settings settings = fleet_settings();
-    settings.classes[0].idempotency = effect;
+    settings.classes[0].idempotency = idempotency;
     settings.max_attempts = 1;
-    GatewayFixture script(settings, 20);
-    script.arrive(1, 100, 0, 4s);
-    ASSERT_EQ(script.count<Send>(), 1);
-    // No attempt timeout: missing progress messages and slow progress show a lost attempt instead.
-    EXPECT_EQ(script.first<Send>()->timeout, 0s);
-    script.advance(1s);
-    script.feed(ProgressReport{.id = 1, .attempt = 0, .engine = script.engine_of[1], .value = 0.2});
-    EXPECT_TRUE(script.actions.empty());
-    script.feed(ProgressReport{.id = 1, .attempt = 0, .engine = script.engine_of[1], .value = 0.01});
-    EXPECT_EQ(script.count<Cancel>(), 1);
-    EXPECT_EQ(script.count<Refuse>(), effect == Idempotency::kIdempotent ? 1 : 0);
-    EXPECT_EQ(script.count<Fail>(), effect == Idempotency::kNone ? 1 : 0);
-    script.feed(AttemptClosed{.id = 1,
-                              .attempt = 0,
-                              .engine = script.engine_of[1],
-                              .outcome = Outcome::kCancelled,
-                              .request_answered = true});
-    EXPECT_TRUE(script.actions.empty());
+    GatewayFixture fixture(settings, 20);
+    fixture.arrive(1, 100, 0, 4s);
+    ASSERT_EQ(fixture.count<Send>(), 1);
+    // No attempt timeout: missing progress reports and slow progress show a lost attempt instead.
+    EXPECT_EQ(fixture.first<Send>()->timeout, 0s);
+    fixture.advance(1s);
+    fixture.feed(ProgressReport{.id = 1, .attempt = 0, .engine = fixture.engine_of[1], .value = 0.2});
+    EXPECT_TRUE(fixture.actions.empty());
+    fixture.feed(ProgressReport{.id = 1, .attempt = 0, .engine = fixture.engine_of[1], .value = 0.01});
+    EXPECT_EQ(fixture.count<Cancel>(), 1);
+    EXPECT_EQ(fixture.count<Refuse>(), idempotency == Idempotency::kIdempotent ? 1 : 0);
+    EXPECT_EQ(fixture.count<Fail>(), idempotency == Idempotency::kNone ? 1 : 0);
+    fixture.feed(AttemptClosed{.id = 1,
+                               .attempt = 0,
+                               .engine = fixture.engine_of[1],
+                               .outcome = Outcome::kCancelled,
+                               .request_answered = true});
+    EXPECT_TRUE(fixture.actions.empty());
   }
 }
 
@@ -166,13 +166,13 @@
     Settings settings = fleet_settings();
     settings.overload_factor = 4;
     settings.overload_window = 1500ms;
-    std::vector<std::unique_ptr<GatewayFixture>> scripts;
+    std::vector<std::unique_ptr<GatewayFixture>> fixtures;
     std::vector<double> traffic_shares;
-    for (int gateway_number = 0; gateway_number < kGateways; ++gateway_number) {
-      settings.own_index = gateway_number;
-      scripts.push_back(std::make_unique<GatewayFixture>(settings, kEngines,
-                                                         static_cast<std::uint64_t>(gateway_number) + 1));
-      traffic_shares.push_back(gateway_number % 10 == 0 ? 5 : gateway_number % 3 == 0 ? 1 : 0.5);
+    for (int gateway_index = 0; gateway_index < kGateways; ++gateway_index) {
+      settings.own_index = gateway_index;
+      fixtures.push_back(std::make_unique<GatewayFixture>(settings, kEngines,
+                                                          static_cast<std::uint64_t>(gateway_index) + 1));
+      traffic_shares.push_back(gateway_index % 10 == 0 ? 5 : gateway_index % 3 == 0 ? 1 : 0.5);
     }
     std::mt19937_64 random(7);
     std::discrete_distribution<int> draw_gateway(traffic_shares.begin(), traffic_shares.end());
@@ -188,38 +188,38 @@
     int arrivals = 0, admitted = 0;
     for (Micros now = 1s; now < end; now += kStep) {
       if (now == started_at) {
-        for (int gateway_number = 0; gateway_number < kGateways; ++gateway_number) {
-          auto& script = scripts[static_cast<std::size_t>(gateway_number)];
-          if (restarted && gateway_number % 10 < 7) {
-            settings.own_index = gateway_number;
-            script = std::make_unique<GatewayFixture>(settings, kEngines,
-                                                      static_cast<std::uint64_t>(gateway_number) + 1000);
-            script->now = now;
-            std::erase_if(pending, [gateway_number](const PendingAnswer& entry) {
-              return entry.gateway == gateway_number;
+        for (int gateway_index = 0; gateway_index < kGateways; ++gateway_index) {
+          auto& fixture = fixtures[static_cast<std::size_t>(gateway_index)];
+          if (restarted && gateway_index % 10 < 7) {
+            settings.own_index = gateway_index;
+            fixture = std::make_unique<GatewayFixture>(settings, kEngines,
+                                                       static_cast<std::uint64_t>(gateway_index) + 1000);
+            fixture->now = now;
+            std::erase_if(pending, [gateway_index](const PendingAnswer& entry) {
+              return entry.gateway == gateway_index;
             });
           }
-          script->feed(ListUpdate{.mode = ListMode::kIncremental,
-                                  .entries = {{.engine = kStartingEngine, .started_at = now}}});
+          fixture->feed(ListUpdate{.mode = ListMode::kIncremental,
+                                   .entries = {{.engine = kStartingEngine, .started_at = now}}});
         }
       }
-      for (auto& script : scripts) script->advance(now - script->now);
+      for (auto& fixture : fixtures) fixture->advance(now - fixture->now);
       while (!pending.empty() && pending.front().answered_at <= now) {
-        GatewayFixture& script = *scripts[static_cast<std::size_t>(pending.front().gateway)];
-        const bool starting = script.engine_of[pending.front().id] == kStartingEngine;
-        answer(script, pending.front().id,
+        GatewayFixture& fixture = *fixtures[static_cast<std::size_t>(pending.front().gateway)];
+        const bool starting = fixture.engine_of[pending.front().id] == kStartingEngine;
+        answer(fixture, pending.front().id,
                {.cpu_utilisation = starting ? 0.2 : 0.6, .in_flight = starting ? 1.0 : 5.0});
         pending.pop_front();
       }
       for (int i = 0; i < 20; ++i) {
         const int gateway = draw_gateway(random);
-        GatewayFixture& script = *scripts[static_cast<std::size_t>(gateway)];
-        script.arrive(++next_id, kWorkMs);
+        GatewayFixture& fixture = *fixtures[static_cast<std::size_t>(gateway)];
+        fixture.arrive(++next_id, kWorkMs);
         ++arrivals;
-        if (script.count<Send>() == 0) continue;
+        if (fixture.count<Send>() == 0) continue;
         ++admitted;
         pending.push_back({now + 100ms, gateway, next_id});
-        if (script.engine_of[next_id] == kStartingEngine && now >= started_at) sent_at.push_back(now);
+        if (fixture.engine_of[next_id] == kStartingEngine && now >= started_at) sent_at.push_back(now);
       }
     }
     // What the engine survives at the beginning of its slow start, for the length of one overload window.
