--- a/tests/spool/story_test.cpp
+++ b/tests/spool/story_test.cpp
@@ -430,7 +430,8 @@
   CHECK(site.server->broken_invariants() == 0);
 }
 
-TEST_CASE("spool: a reload with a budget below its use keeps the results; an invalid one changes nothing") {
+TEST_CASE(
+    "spool: a reload with a budget below its use keeps the results, and an invalid one changes nothing") {
   Site site(long_report_options());
   const auto reader = site.reader();
   const Reply opened = submit(site, *reader, kId);
